--- a/packages/workload/workload.h
+++ b/packages/workload/workload.h
@@ -5,50 +5,52 @@
 #include "protocol.h"
 
 /*
- * Jobs of steps: what runs where. Nothing here does input or output or reads a clock; now is
- * monotonic nanoseconds and wall is nanoseconds since 1970.
+ * Scheduler core: decides which task of which job runs on which worker. The core performs no
+ * I/O and reads no clock. Callers pass the time: now is in monotonic nanoseconds, wall is in
+ * nanoseconds since the Unix epoch.
  */
 
-/* Limits of what a caller may hand in; more is refused as invalid. */
+/* Limits on a submitted job; a job that exceeds them is rejected as invalid. */
 #define WL_ID_LEN	   16
 #define WL_STEPS_MAX	   64
-#define WL_TASKS_MAX	   20000 /* tasks of one occurrence */
+#define WL_TASKS_MAX	   20000 /* tasks per occurrence */
 #define WL_REPETITIONS_MAX 100000
 #define WL_NAME_MAX	   128
 #define WL_CHECKPOINT_MAX  64
-#define WL_STEP_WHOLE	   UINT32_MAX /* index of a mark that stands for a whole gang */
+#define WL_STEP_WHOLE	   UINT32_MAX /* index of a mark that covers a whole gang */
 
+/* Index of a step in wl_spec.steps. */
 struct wl_step_ref {
 	uint32_t step;
 };
 
-/* What one step asks for, a task. */
+/* A step: a number of identical tasks. Resources and estimate are per task. */
 struct wl_step {
 	uint32_t count;
 	uint32_t cores_m; /* thousandths of a core */
 	uint32_t memory_mb;
 	uint32_t accelerators;
 	uint32_t estimate_ms;
-	/* Earlier steps that must be done first. */
+	/* Steps that must complete before this one starts; all have a lower index. */
 	struct wl_step_ref *after;
 	uint32_t after_len;
 	bool checkpoints;
 	bool gang;
-	/* Runs slower when spread over racks, by the deployment's remote penalty. */
+	/* Should run within one rack: otherwise run times grow by the factor remote_penalty. */
 	bool rack_local;
 	bool long_running;
-	/* Takes only the cores that other tasks leave unused; its cores are not reserved. */
+	/* Runs only on cores that other tasks leave idle; no cores are reserved for it. */
 	bool filler;
 	bool copies;
 	char *label;
 	char *data_rack;
 	char *image;
-	uint32_t per_worker_max; /* 0: any number */
-	uint32_t latency_max_ms; /* of a serving task; 0: none */
+	uint32_t per_worker_max; /* 0: no limit */
+	uint32_t latency_max_ms; /* latency objective of a serving task; 0: none */
 	uint32_t unavailable_max;
 };
 
-/* A job as it was accepted; never changes afterwards. */
+/* A job as submitted; immutable once accepted. */
 struct wl_spec {
 	char *id;
 	char *queue;
@@ -57,10 +59,10 @@
 	char *payload;
 	struct wl_step *steps;
 	uint32_t steps_len;
-	uint32_t repetitions; /* 0: once, now */
+	uint32_t repetitions; /* 0: run once, immediately */
 	int64_t start_at_ms;
 	int64_t interval_ms;
-	int64_t accepted_ms; /* wall clock of the entry that accepted it */
+	int64_t accepted_ms; /* wall clock of the accepting entry process */
 };
 
 enum wl_state {
@@ -73,22 +75,22 @@
 const char *wl_state_name(uint32_t s);
 bool wl_state_ended(uint32_t s);
 
-/* What is stored of one task, or of a whole gang. */
+/* Stored state of one task, or of a whole gang. */
 struct wl_mark {
 	uint32_t occurrence;
 	uint32_t step;
 	uint32_t index;
 	bool done;
 	uint32_t failures;
-	/* The last attempt whose failure was counted. */
+	/* Last attempt that was counted in failures. */
 	uint32_t failed_attempt;
 	char *checkpoint;
-	/* Where the task may run, and as which attempt; stored before it is started there. */
+	/* Node and attempt of the current run; stored before the start order is sent. */
 	char *node;
 	uint32_t attempt;
 };
 
-/* The stored progress of a job. */
+/* Stored progress of a job. */
 struct wl_progress {
 	uint32_t state;
 	char *queue;
@@ -101,7 +103,7 @@
 extern const struct field_table wl_progress_fields;
 bool wl_spec_check(const struct wl_spec *s, GError **err);
 
-/* The parts of the configuration that placement needs; owned by the caller. */
+/* A queue: routing, priority and objectives of the jobs submitted to it. */
 struct wl_queue {
 	char *name;
 	char *host;
@@ -111,15 +113,17 @@
 	uint32_t attempts_max;
 	double stretch;
 	int64_t target_ms;
-	bool open; /* no key is asked for */
-	/* Placement needs tickets of the approval service. */
+	bool open; /* accepts requests without an API key */
+	/* Starts require a ticket from the approval service. */
 	bool approval;
 };
+/* An organisation with its API keys. */
 struct wl_org {
 	char *name;
 	GPtrArray *keys;
-	uint32_t guaranteed;
+	uint32_t guaranteed; /* accelerators guaranteed to its urgent jobs */
 };
+/* The configuration that the scheduler core uses; owned by the caller. */
 struct wl_config {
 	int64_t version;
 	int64_t revision;
@@ -138,40 +142,41 @@
 const struct wl_org *wl_config_key(const struct wl_config *c, const char *key);
 const struct wl_org *wl_config_org(const struct wl_config *c, const char *name);
 
-/* How a run ended, as the worker says. */
+/* How a run ended, as reported by the worker. */
 enum wl_end {
 	WL_END_DONE,
 	WL_END_FAILED,
 	WL_END_STOPPED,
 	WL_END_LAPSED,
 	WL_END_BROKEN,
+	/* A gang member that did not find its peers within gang_wait. */
 	WL_END_ALONE,
 	WL_END_OTHER
 };
 const char *wl_end_name(uint32_t e);
 
-/* What a worker answered to a start. */
+/* A worker's answer to a start order. */
 enum wl_answer {
 	WL_ANSWER_RUNNING,
-	/* It will not run, now or later. */
+	/* Refused: the task does not run, now or later. */
 	WL_ANSWER_REFUSED_OLD,
 	WL_ANSWER_REFUSED_ROOM,
 	WL_ANSWER_REFUSED_TICKET,
 	WL_ANSWER_REFUSED_OTHER,
-	/* The worker is unhealthy and did nothing. */
+	/* The worker is unhealthy and did not try. */
 	WL_ANSWER_UNHEALTHY
 };
 const char *wl_answer_name(uint32_t a);
 
-/* One run on a worker. */
+/* A run that a worker reports as active. */
 struct wl_run {
 	char *task;
 	uint32_t attempt;
 	char *checkpoint;
 	uint32_t percent;
-	uint32_t figure; /* latency in ms of a serving task, else cores_m in use */
+	uint32_t figure; /* serving task: latency in ms; otherwise: cores_m in use */
 };
-/* One end that a worker lists until it is told that it has been stored. */
+/* A finished run; the worker repeats it until a wl_stored message covers its number. */
 struct wl_ended {
 	uint64_t number;
 	char *task;
@@ -179,15 +184,16 @@
 	uint32_t how;
 	char *checkpoint;
 };
+/* A string as a list element of a message. */
 struct wl_text {
 	char *text;
 };
 
-/* A worker as its agent sees it. */
+/* Agent to coordinator: state of a worker and full lists of its runs and finished runs. */
 struct wl_report {
 	uint64_t term;
 	char *node;
-	/* Names one life of the worker: changes with each start of it. */
+	/* Instance id of the worker process; changes each time it starts. */
 	char *life;
 	char *service;
 	char *rack;
@@ -199,9 +205,10 @@
 	bool draining;
 	uint32_t leaves_in_ms;
 	bool left;
-	/* Starts whose answers the agent had when it asked for these lists. */
+	/* Ordinal up to which the agent had all answers to starts when it requested the lists.
+	 */
 	uint64_t covers;
-	/* The agent's clock when it sent this; the answer brings it back. */
+	/* The agent's clock at sending; returned in wl_lead_beat.echo_ns. */
 	uint64_t sent_ns;
 	struct wl_run *runs;
 	uint32_t runs_len;
@@ -209,7 +216,7 @@
 	uint32_t ends_len;
 };
 
-/* One start for a worker; the payload of the job goes once with all of them. */
+/* Start of one task; wl_start_order carries the payload that all its starts share. */
 struct wl_start {
 	uint64_t ordinal;
 	char *task;
@@ -217,6 +224,7 @@
 	char *checkpoint;
 	char *ticket;
 };
+/* Coordinator to agent: start tasks of one job. */
 struct wl_start_order {
 	uint64_t term;
 	char *life;
@@ -224,14 +232,19 @@
 	struct wl_start *starts;
 	uint32_t starts_len;
 };
+/* Coordinator to agent: stop a run. */
 struct wl_stop_order {
 	uint64_t term;
 	char *life;
 	char *task;
 	uint32_t attempt;
-	/* Of a start that was never answered: its number, to be answered once it is void. */
+	/*
+	 * Ordinal of an unanswered start, else 0. The agent invalidates that start and then
+	 * answers it.
+	 */
 	uint64_t ordinal;
 };
+/* Coordinator to agent: limit the speed of a run to percent. */
 struct wl_pace_order {
 	uint64_t term;
 	char *life;
@@ -239,6 +252,7 @@
 	uint32_t attempt;
 	uint32_t percent;
 };
+/* Agent to coordinator: the worker's answer to a start. */
 struct wl_answer_note {
 	uint64_t term;
 	char *life;
@@ -247,36 +261,36 @@
 	uint32_t attempt;
 	uint32_t answer;
 };
-/* Coordinator to agent: alive; its term was confirmed by the store age_ms ago. */
+/* Coordinator to agent: heartbeat. The store confirmed the coordinator's term age_ms ago. */
 struct wl_lead_beat {
 	uint64_t term;
 	uint32_t age_ms;
 	bool stopping;
-	/* sent_ns of the report that this answers; 0 for none. */
+	/* sent_ns of the report or ping being answered; 0 for none. */
 	uint64_t echo_ns;
-	/* The last start that was ordered of anyone; what comes later on this link is higher.
-	 */
+	/* Last start ordinal issued to any agent; later starts on this link are higher. */
 	uint64_t ordinal;
 };
+/* Agent to coordinator: first message on a link. */
 struct wl_hello {
 	char *node;
 	char *zone;
 	uint64_t term;
 };
-/* Ends of this life up to this number are stored. */
+/* Coordinator to agent: finished runs of this worker instance up to number are stored. */
 struct wl_stored {
 	uint64_t term;
 	char *life;
 	uint64_t number;
 };
 
-/* Agent to coordinator: alive, though the worker may be silent. */
+/* Agent to coordinator: the agent is alive, even if its worker does not respond. */
 struct wl_ping {
 	uint64_t term;
 	uint64_t sent_ns;
 };
 
-/* Entry to agent: carry a call to the store, which does not serve the entry's VM. */
+/* Entry to agent: forward a request to the store, which does not serve the entry's VM. */
 struct wl_store_call {
 	uint64_t number;
 	char *method;
@@ -286,7 +300,7 @@
 };
 struct wl_store_reply {
 	uint64_t number;
-	uint32_t status; /* of HTTP; 0 where no answer came */
+	uint32_t status; /* HTTP status; 0 if there was no response */
 	struct bytes body;
 };
 
@@ -324,23 +338,23 @@
 bool wl_msg_decode(struct wl_msg *m, const void *data, size_t len, GError **err);
 void wl_msg_clear(struct wl_msg *m);
 
-/* Bounds of the deployment, in nanoseconds unless the name says otherwise. */
+/* Time limits and costs of the deployment; times are in nanoseconds. */
 struct wl_limits {
-	int64_t stop_max;      /* a worker ends a stopped run within this */
-	int64_t gang_wait;     /* a member alone for so long ends */
-	double remote_penalty; /* work off its rack takes so many times as long */
-	int64_t restore;       /* resuming from a checkpoint takes this */
-	int64_t silence_max;   /* after this nothing runs on a worker out of reach */
-	int64_t reclaim_max;   /* a guaranteed unit has started within this */
-	int64_t retention;     /* an ended job is remembered for this */
+	int64_t stop_max;      /* a worker ends a run within this after a stop order */
+	int64_t gang_wait;     /* a gang member without its peers ends after this */
+	double remote_penalty; /* run time factor for work outside its rack */
+	int64_t restore;       /* time to resume from a checkpoint */
+	int64_t silence_max;   /* no run survives on an unreachable worker after this */
+	int64_t reclaim_max;   /* a unit within its guarantee starts within this */
+	int64_t retention;     /* how long a job is kept after it ended */
 };
 
-/* What the core asks for. */
+/* Callbacks through which the core sends orders and requests storage. */
 struct wl_out {
 	void (*start)(void *arg, const char *node, const struct wl_start_order *o);
 	void (*stop)(void *arg, const char *node, const struct wl_stop_order *o);
 	void (*pace)(void *arg, const char *node, const struct wl_pace_order *o);
-	/* The job's progress has to be stored; wl_job_stored follows. */
+	/* The job's progress must be stored; the caller then calls wl_job_stored. */
 	void (*dirty)(void *arg, const char *id);
 	void *arg;
 };
@@ -350,35 +364,40 @@
 void wl_free(struct wl *w);
 void wl_set_config(struct wl *w, const struct wl_config *c);
 
-/* Jobs. Nodes that may still run tasks of them must have been expected before. */
+/*
+ * Jobs. Before a stored job is added, wl_node_expect must have been called for each node that
+ * may still run tasks of it.
+ */
 void wl_job_add(struct wl *w, int64_t now, int64_t wall, const struct wl_spec *spec,
 	const struct wl_progress *p);
 void wl_job_cancel(struct wl *w, int64_t now, int64_t wall, const char *id);
 bool wl_job_has(const struct wl *w, const char *id);
-/* The progress to be stored, and how far it goes. */
+/* Encodes the progress to store; version identifies it for wl_job_stored. */
 struct bytes wl_job_progress(struct wl *w, const char *id, uint64_t *version);
 void wl_job_stored(struct wl *w, int64_t now, const char *id, uint64_t version);
-/* Ids of ended jobs that need not be remembered any longer; the list is g_free'd strings. */
+/* Ids of ended jobs that can be removed after their retention; the array frees its strings. */
 GPtrArray *wl_jobs_expired(struct wl *w, int64_t wall);
 void wl_job_forget(struct wl *w, const char *id);
 
-/* Workers. A node that may run tasks for an earlier coordinator is expected until it reports.
- */
+/* Workers. Registers a node that may still run tasks started by an earlier coordinator. */
 void wl_node_expect(struct wl *w, int64_t now, const char *node);
 void wl_node_report(struct wl *w, int64_t now, int64_t wall, const struct wl_report *r);
 void wl_node_silent(struct wl *w, int64_t now, const char *node);
 void wl_node_answer(struct wl *w, int64_t now, const struct wl_answer_note *a);
-/* The number up to which the ends of the node's life are stored; life is not owned. */
+/*
+ * The number up to which the finished runs of the node's current instance are stored. Returns
+ * false if the worker has been told already; the caller doesn't own life.
+ */
 bool wl_node_stored(struct wl *w, const char *node, const char **life, uint64_t *number);
-/* The number of the last start that was ordered. */
+/* Ordinal of the last start order. */
 uint64_t wl_ordinal(const struct wl *w);
 size_t wl_node_count(const struct wl *w);
-/* Names of nodes that need not be expected any more; g_free'd strings. */
+/* Names of nodes on which nothing can be running any more; the array frees its strings. */
 GPtrArray *wl_nodes_gone(struct wl *w, int64_t now);
 
-/* Whether something has happened since the last pass that may let work start. */
+/* Whether anything has changed since the last pass that may allow a task to start. */
 bool wl_wants_pass(const struct wl *w);
-/* Decide. Returns the nanoseconds after which to ask again, where nothing else happens. */
+/* Runs a scheduling pass; returns the nanoseconds until the next one is due at the latest. */
 int64_t wl_pass(struct wl *w, int64_t now, int64_t wall);
 
 #endif
