--- a/packages/workload/wl-headroom.c
+++ b/packages/workload/wl-headroom.c
@@ -7,9 +7,9 @@
  */
 
 /* Weight of the newest job in the mean size. */
-#define SIZE_WEIGHT 0.1
+#define MEAN_SIZE_WEIGHT 0.1
 /* Headroom is for an urgent job half again as large as the mean. */
-#define HEADROOM_JOBS 1.5
+#define HEADROOM_FACTOR 1.5
 /* At most this share of the workers is left empty. */
 #define HEADROOM_SHARE_MAX 0.4
 
@@ -21,13 +21,14 @@
 	if (j->priority != 0 || j->spec.steps_len == 0)
 		return;
 	size = (double)j->spec.steps[0].count * j->spec.steps[0].accelerators;
-	w->urgent_size = w->urgent_size == 0
-				 ? size
-				 : w->urgent_size + SIZE_WEIGHT * (size - w->urgent_size);
+	w->mean_urgent_size =
+		w->mean_urgent_size == 0
+			? size
+			: w->mean_urgent_size + MEAN_SIZE_WEIGHT * (size - w->mean_urgent_size);
 }
 
 /* The emptiest worker that is not chosen yet. */
-static struct wl_node *emptiest(struct wl *w)
+static struct wl_node *least_used_worker(struct wl *w)
 {
 	struct wl_node *best = NULL;
 
@@ -46,19 +47,19 @@
 }
 
 /* Choose the workers to be left empty: enough for an urgent job of mean size. */
-void headroom_choose(struct wl *w)
+void headroom_select(struct wl *w)
 {
-	double want = w->urgent_size * HEADROOM_JOBS;
-	unsigned int most = (unsigned int)(HEADROOM_SHARE_MAX * w->nodes->len);
+	double needed = w->mean_urgent_size * HEADROOM_FACTOR;
+	unsigned int workers_max = (unsigned int)(HEADROOM_SHARE_MAX * w->nodes->len);
 
 	for (guint i = 0; i < w->nodes->len; i++)
 		((struct wl_node *)w->nodes->pdata[i])->headroom = false;
-	while (want > 0 && most-- > 0) {
-		struct wl_node *n = emptiest(w);
+	while (needed > 0 && workers_max-- > 0) {
+		struct wl_node *n = least_used_worker(w);
 
 		if (n == NULL)
 			return;
 		n->headroom = true;
-		want -= (double)MAX(n->free.accelerators, 1);
+		needed -= (double)MAX(n->free.accelerators, 1);
 	}
 }
--- a/packages/workload/wl-health.c
+++ b/packages/workload/wl-health.c
@@ -3,19 +3,19 @@
 #include <inttypes.h>
 
 /* A run whose progress has not moved for so long stands still. */
-#define STALL_AFTER (3 * NSEC_PER_SEC)
+#define STALL_TIMEOUT (3 * NSEC_PER_SEC)
 /* What a run that stands still counts against its worker, in failed runs. */
-#define STALL_STRIKES 3
+#define STALL_FAILURES 3
 /* A run that will not end this long before its worker leaves is moved. */
-#define LEAVE_MARGIN (200 * NSEC_PER_MSEC)
+#define DRAIN_MARGIN (200 * NSEC_PER_MSEC)
 /* Progress that was seen for less time says nothing of the rest. */
-#define PROGRESS_MIN (300 * NSEC_PER_MSEC)
+#define PROGRESS_WINDOW_MIN (300 * NSEC_PER_MSEC)
 
 /* Whether a run's progress says how long it takes. */
-bool task_shows_progress(const struct wl_task *t)
+bool task_has_progress_rate(const struct wl_task *t)
 {
 	return t->phase == TASK_RUNNING && t->percent > t->base_percent &&
-	       t->percent_at - t->base_at >= PROGRESS_MIN;
+	       t->percent_at - t->base_at >= PROGRESS_WINDOW_MIN;
 }
 
 /* How long a run still takes, by its progress, or by its estimate before there is any. */
@@ -23,14 +23,14 @@
 {
 	int64_t estimate = step_estimate(t->unit->job, t->unit->step);
 	int64_t ran = t->running_at > 0 ? now - t->running_at : 0;
-	int64_t seen = t->percent_at - t->base_at;
-	uint32_t made = t->percent - MIN(t->base_percent, t->percent);
+	int64_t observed = t->percent_at - t->base_at;
+	uint32_t gained = t->percent - MIN(t->base_percent, t->percent);
 	uint32_t left = 100 - MIN(t->percent, 100u);
 
-	if (!task_shows_progress(t))
+	if (!task_has_progress_rate(t))
 		return MAX(estimate * (100 - MIN(t->base_percent, 100u)) / 100 - ran, 0);
 	/* What was listed is older than now by up to a report's period. */
-	return MAX(seen * left / made - (now - t->percent_at), 0);
+	return MAX(observed * left / gained - (now - t->percent_at), 0);
 }
 
 /* Note a run's progress. */
@@ -49,7 +49,7 @@
 }
 
 /* Move the runs of a leaving worker that will not end in time; what they saved goes along. */
-static void evacuate(struct wl_node *n, int64_t now)
+static void stop_before_drain(struct wl_node *n, int64_t now)
 {
 	struct wl_task *t;
 
@@ -57,7 +57,7 @@
 		if (t->phase != TASK_RUNNING)
 			continue;
 		if (!t->unit->step->long_running &&
-			task_remaining(t, now) <= n->drain_until - now - LEAVE_MARGIN)
+			task_remaining(t, now) <= n->drain_until - now - DRAIN_MARGIN)
 			continue;
 		if (t->unit->step->gang)
 			unit_stop(t->unit, now, "a member's worker is leaving", NULL);
@@ -74,11 +74,11 @@
 	if (t->phase != TASK_RUNNING || t->unit->step->long_running || t->percent >= 100 ||
 		t->pace < 100 || t->unit->step->filler)
 		return false;
-	return since > 0 && now - since > STALL_AFTER;
+	return since > 0 && now - since > STALL_TIMEOUT;
 }
 
 /* Start runs that stand still elsewhere. */
-static void end_stalled(struct wl_node *n, int64_t now)
+static void stop_stalled_runs(struct wl_node *n, int64_t now)
 {
 	struct wl_task *t;
 
@@ -90,7 +90,7 @@
 			unit_stop(t->unit, now, "the gang stands still", NULL);
 			continue;
 		}
-		for (int i = 0; i < STALL_STRIKES; i++)
+		for (int i = 0; i < STALL_FAILURES; i++)
 			node_strike(n, now);
 		t->avoid = n;
 		task_stop(t, now, "it stands still", NULL);
@@ -106,7 +106,7 @@
 		if (!n->linked || n->life == NULL)
 			continue;
 		if (n->draining && !n->left)
-			evacuate(n, now);
-		end_stalled(n, now);
+			stop_before_drain(n, now);
+		stop_stalled_runs(n, now);
 	}
 }
--- a/packages/workload/wl-place.c
+++ b/packages/workload/wl-place.c
@@ -1,25 +1,25 @@
 #include "wl-private.h"
 
 /* Of the time that a unit loses off its rack, it waits so much for a place there. */
-#define SPREAD_SHARE 0.5
+#define SPREAD_WAIT_SHARE 0.5
 /* A worker with more than this held against it is taken only when no other fits. */
-#define STRIKES_AVOID 0.7
+#define FAILURE_SCORE_AVOID 0.7
 
 /* Whether a need fits into a room. */
-bool room_fits(const struct wl_room *r, const struct wl_need *n)
+bool resources_fit(const struct wl_available *r, const struct wl_need *n)
 {
 	return r->cores_m >= n->cores_m && r->memory_mb >= n->memory_mb &&
 	       r->accelerators >= n->accelerators;
 }
 
-void room_take(struct wl_room *r, const struct wl_need *n)
+void resources_deduct(struct wl_available *r, const struct wl_need *n)
 {
 	r->cores_m -= n->cores_m;
 	r->memory_mb -= n->memory_mb;
 	r->accelerators -= n->accelerators;
 }
 
-void room_give(struct wl_room *r, const struct wl_need *n)
+void resources_add(struct wl_available *r, const struct wl_need *n)
 {
 	r->cores_m += n->cores_m;
 	r->memory_mb += n->memory_mb;
@@ -37,7 +37,7 @@
 }
 
 /* Whether tasks of a unit may run on a worker at all, as of this pass. */
-bool node_suits(const struct wl_node *n, const struct wl_unit *u)
+bool node_eligible(const struct wl_node *n, const struct wl_unit *u)
 {
 	return n->usable && (!n->headroom || n->wl->may_use_headroom) &&
 	       g_strcmp0(n->service, u->job->service) == 0 &&
@@ -45,14 +45,15 @@
 }
 
 /* Runs of the unit on a worker, with those of the plan. */
-static uint32_t on_node(const struct wl_unit *u, const struct wl_node *n, const GArray *plan)
+static uint32_t count_on_node(
+	const struct wl_unit *u, const struct wl_node *n, const GArray *plan)
 {
 	uint32_t count = 0;
 
 	for (uint32_t i = 0; i < u->step->count; i++)
 		count += u->tasks[i].node == n;
 	for (guint i = 0; i < plan->len; i++) {
-		const struct plan *p = &g_array_index(plan, struct plan, i);
+		const struct placement *p = &g_array_index(plan, struct placement, i);
 
 		count += p->task->unit == u && p->node == n;
 	}
@@ -60,36 +61,37 @@
 }
 
 /* Whether one more task of a unit may go to a worker beside those that are there. */
-bool spread_allows(const struct wl_unit *u, const struct wl_node *n, const GArray *plan)
+bool below_worker_limit(const struct wl_unit *u, const struct wl_node *n, const GArray *plan)
 {
-	return u->step->per_worker_max == 0 || on_node(u, n, plan) < u->step->per_worker_max;
+	return u->step->per_worker_max == 0 ||
+	       count_on_node(u, n, plan) < u->step->per_worker_max;
 }
 
 /* What counts against putting a task on a worker; smaller is better. */
 struct place_cost {
-	double suspicion;
+	double unreliability;
 	int64_t off_rack;
 	int64_t accelerators_left;
 	int64_t cores_left;
 };
 
-static struct place_cost cost_of(const struct wl_node *n, const struct wl_room *r,
+static struct place_cost compute_cost(const struct wl_node *n, const struct wl_available *r,
 	const struct wl_task *t, const struct wl_need *need, int64_t now)
 {
-	double strikes = node_strikes(n, now) + (t->avoid == n ? 1.0 : 0.0);
+	double score = node_strikes(n, now) + (t->avoid == n ? 1.0 : 0.0);
 	const char *data_rack = t->unit->step->data_rack;
 
-	return (struct place_cost){.suspicion = strikes > STRIKES_AVOID ? strikes : 0,
+	return (struct place_cost){.unreliability = score > FAILURE_SCORE_AVOID ? score : 0,
 		.off_rack = data_rack != NULL && g_strcmp0(data_rack, n->rack) != 0,
 		.accelerators_left = r->accelerators - need->accelerators,
 		.cores_left = r->cores_m - need->cores_m};
 }
 
 /* Whether a is better than b: trusted, near its data, and the tightest fit. */
-static bool cost_less(const struct place_cost *a, const struct place_cost *b)
+static bool cost_is_lower(const struct place_cost *a, const struct place_cost *b)
 {
-	if (a->suspicion != b->suspicion)
-		return a->suspicion < b->suspicion;
+	if (a->unreliability != b->unreliability)
+		return a->unreliability < b->unreliability;
 	if (a->off_rack != b->off_rack)
 		return a->off_rack < b->off_rack;
 	if (a->accelerators_left != b->accelerators_left)
@@ -98,23 +100,23 @@
 }
 
 /* The room of a node that a plan counts on. */
-static struct wl_room *room_of(struct wl_node *n, enum plan_room which)
+static struct wl_available *available_on(struct wl_node *n, enum placement_view view)
 {
-	return which == PLAN_FREE ? &n->free : &n->soon;
+	return view == VIEW_FREE ? &n->free : &n->free_after_stops;
 }
 
 /* Whether a task leaves the room that is kept on a worker for an earlier one. */
-static bool leaves_kept(const struct wl_node *n, const struct wl_task *t,
+static bool respects_reservation(const struct wl_node *n, const struct wl_task *t,
 	const struct wl_need *need, int64_t now)
 {
-	return n->kept_from == 0 ||
-	       now + step_estimate(t->unit->job, t->unit->step) <= n->kept_from ||
-	       room_fits(&n->beside_kept, need);
+	return n->reserved_from == 0 ||
+	       now + step_estimate(t->unit->job, t->unit->step) <= n->reserved_from ||
+	       resources_fit(&n->unreserved, need);
 }
 
 /* The best worker for a task, in one rack where rack is not NULL. */
 static struct wl_node *best_node(struct wl *w, const struct wl_task *t, int64_t now,
-	enum plan_room which, const char *rack, const GArray *plan)
+	enum placement_view view, const char *rack, const GArray *plan)
 {
 	struct wl_need need = task_need(t->unit->step);
 	struct wl_node *best = NULL;
@@ -122,18 +124,18 @@
 
 	for (guint i = 0; i < w->nodes->len; i++) {
 		struct wl_node *n = w->nodes->pdata[i];
-		struct wl_room *r = room_of(n, which);
+		struct wl_available *r = available_on(n, view);
 		struct place_cost c;
 
-		if (!node_suits(n, t->unit) || !room_fits(r, &need) ||
-			!leaves_kept(n, t, &need, now))
+		if (!node_eligible(n, t->unit) || !resources_fit(r, &need) ||
+			!respects_reservation(n, t, &need, now))
 			continue;
 		if (rack != NULL && g_strcmp0(rack, n->rack) != 0)
 			continue;
-		if (!spread_allows(t->unit, n, plan))
+		if (!below_worker_limit(t->unit, n, plan))
 			continue;
-		c = cost_of(n, r, t, &need, now);
-		if (best == NULL || cost_less(&c, &least)) {
+		c = compute_cost(n, r, t, &need, now);
+		if (best == NULL || cost_is_lower(&c, &least)) {
 			best = n;
 			least = c;
 		}
@@ -142,19 +144,19 @@
 }
 
 /* Place the waiting tasks of a unit one by one; returns how many found a place. */
-static uint32_t place_tasks(struct wl *w, struct wl_unit *u, int64_t now, enum plan_room which,
-	const char *rack, GArray *out)
+static uint32_t place_tasks(struct wl *w, struct wl_unit *u, int64_t now,
+	enum placement_view view, const char *rack, GArray *out)
 {
 	struct wl_need need = task_need(u->step);
 	uint32_t placed = 0;
 
 	for (uint32_t i = 0; i < u->step->count; i++) {
 		struct wl_task *t = &u->tasks[i];
-		struct plan p = {.task = t};
+		struct placement p = {.task = t};
 
 		if (t->phase != TASK_WAITING || t->node != NULL)
 			continue;
-		p.node = best_node(w, t, now, which, rack, out);
+		p.node = best_node(w, t, now, view, rack, out);
 		if (p.node == NULL) {
 			if (u->step->gang)
 				break;
@@ -163,7 +165,7 @@
 				break;
 			continue;
 		}
-		room_take(room_of(p.node, which), &need);
+		resources_deduct(available_on(p.node, view), &need);
 		g_array_append_val(out, p);
 		placed++;
 	}
@@ -171,19 +173,19 @@
 }
 
 /* Take back the plan behind a position. */
-void plan_undo(GArray *plan, guint from, enum plan_room which)
+void placements_undo(GArray *plan, guint from, enum placement_view view)
 {
 	for (guint i = from; i < plan->len; i++) {
-		const struct plan *p = &g_array_index(plan, struct plan, i);
+		const struct placement *p = &g_array_index(plan, struct placement, i);
 		struct wl_need need = task_need(p->task->unit->step);
 
-		room_give(room_of(p->node, which), &need);
+		resources_add(available_on(p->node, view), &need);
 	}
 	g_array_set_size(plan, from);
 }
 
 /* The names of all racks; owned by the nodes. */
-GPtrArray *racks_of(const struct wl *w)
+GPtrArray *list_racks(const struct wl *w)
 {
 	GPtrArray *out = g_ptr_array_new();
 
@@ -210,24 +212,24 @@
 }
 
 /* Accelerators, then cores, that a plan leaves free on the workers that it uses. */
-static int64_t leftover(const GArray *plan, guint from, enum plan_room which)
+static int64_t stranded_capacity(const GArray *plan, guint from, enum placement_view view)
 {
 	int64_t sum = 0;
 
 	for (guint i = from; i < plan->len; i++) {
-		struct wl_node *n = g_array_index(plan, struct plan, i).node;
+		struct wl_node *n = g_array_index(plan, struct placement, i).node;
 
-		sum += room_of(n, which)->accelerators * 1000 +
-		       room_of(n, which)->cores_m / 1000;
+		sum += available_on(n, view)->accelerators * 1000 +
+		       available_on(n, view)->cores_m / 1000;
 	}
 	return sum;
 }
 
 /* Place a rack-local unit whole in one rack, the one that it fits most tightly. */
 static uint32_t place_in_rack(
-	struct wl *w, struct wl_unit *u, int64_t now, enum plan_room which, GArray *out)
+	struct wl *w, struct wl_unit *u, int64_t now, enum placement_view view, GArray *out)
 {
-	g_autoptr(GPtrArray) racks = racks_of(w);
+	g_autoptr(GPtrArray) racks = list_racks(w);
 	const char *only = rack_in_use(u);
 	const char *best = NULL;
 	int64_t least = INT64_MAX;
@@ -240,41 +242,41 @@
 
 		if (only != NULL && strcmp(only, rack) != 0)
 			continue;
-		placed = place_tasks(w, u, now, which, rack, out);
-		cost = leftover(out, from, which);
+		placed = place_tasks(w, u, now, view, rack, out);
+		cost = stranded_capacity(out, from, view);
 		if (u->step->data_rack != NULL && strcmp(u->step->data_rack, rack) != 0)
 			cost += INT32_MAX;
-		plan_undo(out, from, which);
+		placements_undo(out, from, view);
 		if (placed == u->waiting && cost < least) {
 			least = cost;
 			best = rack;
 		}
 	}
-	return best != NULL ? place_tasks(w, u, now, which, best, out) : 0;
+	return best != NULL ? place_tasks(w, u, now, view, best, out) : 0;
 }
 
 /*
  * Plan places for the waiting tasks of a unit and take their room: of a gang for all or none.
  * anywhere lets a rack-local unit spread over racks. Returns how many were placed.
  */
-uint32_t place_unit(struct wl *w, struct wl_unit *u, int64_t now, enum plan_room which,
+uint32_t place_unit(struct wl *w, struct wl_unit *u, int64_t now, enum placement_view view,
 	bool anywhere, GArray *out)
 {
 	guint from = out->len;
 	uint32_t placed;
 
 	if (u->step->rack_local && u->step->data_rack == NULL && !anywhere)
-		return place_in_rack(w, u, now, which, out);
-	placed = place_tasks(w, u, now, which, anywhere ? NULL : u->step->data_rack, out);
+		return place_in_rack(w, u, now, view, out);
+	placed = place_tasks(w, u, now, view, anywhere ? NULL : u->step->data_rack, out);
 	if (u->step->gang && placed < u->waiting) {
-		plan_undo(out, from, which);
+		placements_undo(out, from, view);
 		return 0;
 	}
 	return placed;
 }
 
 /* Whether tasks of a unit could run on a worker once it is in reach and healthy. */
-static bool node_may_suit(const struct wl_node *n, const struct wl_unit *u)
+static bool node_potentially_eligible(const struct wl_node *n, const struct wl_unit *u)
 {
 	return !n->left && !n->draining && n->life != NULL &&
 	       g_strcmp0(n->service, u->job->service) == 0 &&
@@ -284,11 +286,11 @@
 /* Whether some rack could hold a rack-local unit if it were empty and all of it in reach. */
 bool rack_feasible(const struct wl *w, const struct wl_unit *u)
 {
-	g_autoptr(GPtrArray) racks = racks_of(w);
+	g_autoptr(GPtrArray) racks = list_racks(w);
 	struct wl_need need = task_need(u->step);
 
 	for (guint i = 0; i < racks->len; i++) {
-		uint64_t fit = 0;
+		uint64_t fitting = 0;
 
 		if (u->step->data_rack != NULL &&
 			strcmp(u->step->data_rack, racks->pdata[i]) != 0)
@@ -299,7 +301,8 @@
 
 			if (n->expected)
 				return true;
-			if (!node_may_suit(n, u) || g_strcmp0(n->rack, racks->pdata[i]) != 0)
+			if (!node_potentially_eligible(n, u) ||
+				g_strcmp0(n->rack, racks->pdata[i]) != 0)
 				continue;
 			if (need.cores_m > 0)
 				here = MIN(here, n->capacity.cores_m / need.cores_m);
@@ -309,16 +312,16 @@
 				here = MIN(here, n->capacity.accelerators / need.accelerators);
 			if (u->step->per_worker_max > 0)
 				here = MIN(here, u->step->per_worker_max);
-			fit += here;
+			fitting += here;
 		}
-		if (fit >= (u->step->gang || u->step->rack_local ? u->step->count : 1))
+		if (fitting >= (u->step->gang || u->step->rack_local ? u->step->count : 1))
 			return true;
 	}
 	return false;
 }
 
 /* Whether it matters in which rack the tasks of a unit run. */
-bool unit_is_local(const struct wl_unit *u)
+bool unit_prefers_rack(const struct wl_unit *u)
 {
 	return u->step->rack_local || u->step->data_rack != NULL;
 }
@@ -332,7 +335,8 @@
 	int64_t waited = now - u->ready_at;
 	double lost = (w->limits.remote_penalty - 1) * (double)step_estimate(u->job, u->step);
 
-	if (!unit_is_local(u) || !rack_feasible(w, u) || (double)waited > SPREAD_SHARE * lost)
+	if (!unit_prefers_rack(u) || !rack_feasible(w, u) ||
+		(double)waited > SPREAD_WAIT_SHARE * lost)
 		return true;
 	return waited > w->limits.reclaim_max - w->limits.stop_max - RECLAIM_MARGIN &&
 	       unit_entitled(w, u);
--- a/packages/workload/wl-private.h
+++ b/packages/workload/wl-private.h
@@ -7,29 +7,29 @@
 #include <string.h>
 
 /*
- * What a guaranteed start takes besides stopping others: two messages, a write, and one more
- * try of a message whose answer is lost.
+ * Time that a guaranteed start takes in addition to stopping other runs: two messages, one
+ * store write and one retry of a message whose answer was lost.
  */
 #define RECLAIM_MARGIN (900 * NSEC_PER_MSEC)
 
-/* What a task takes of a worker. */
+/* Resources that a task requires or that a worker has. */
 struct wl_need {
 	uint32_t cores_m;
 	uint32_t memory_mb;
 	uint32_t accelerators;
 };
-/* Room may be negative where a worker has shrunk. */
-struct wl_room {
+/* Unallocated resources of a worker; negative if its capacity was reduced. */
+struct wl_available {
 	int64_t cores_m;
 	int64_t memory_mb;
 	int64_t accelerators;
 };
 
-enum wl_phase {
+enum wl_task_phase {
 	TASK_WAITING,
-	/* An earlier coordinator placed it on a node that has not reported yet. */
+	/* Placed by an earlier coordinator on a node that has not reported yet. */
 	TASK_HELD,
-	/* Placed; the order goes out once the place is stored. */
+	/* Placed; the start order is sent once the placement is stored. */
 	TASK_PLACED,
 	TASK_STARTING,
 	TASK_RUNNING,
@@ -43,39 +43,41 @@
 struct wl_task {
 	struct wl_unit *unit;
 	uint32_t index;
-	enum wl_phase phase;
-	/* The number of the last attempt; 0 before the first. */
+	enum wl_task_phase phase;
+	/* Number of the last attempt; 0 before the first. */
 	uint32_t attempt;
 	uint32_t failures;
 	uint32_t failed_attempt;
 	char checkpoint[WL_CHECKPOINT_MAX + 1];
-	/* Where the run is, also while it is being stopped; done tasks may still hold room. */
+	/*
+	 * Node of the current run, set until the run is known to have ended: while it is being
+	 * stopped, and also after another attempt has completed the task.
+	 */
 	struct wl_node *node;
-	/* Of a held task: the node that has to report first. */
+	/* TASK_HELD: the node whose report is awaited. */
 	const struct wl_node *held_by;
-	/* Of a placed task: the version of its job that says where. */
+	/* TASK_PLACED: the job version that contains the placement. */
 	uint64_t placed_version;
 	int64_t placed_at;
 	int64_t running_at;
 	int64_t stop_sent;
 	int64_t waiting_since;
-	uint64_t ordinal;
-	uint64_t seen;
+	uint64_t ordinal; /* of the last start order */
+	uint64_t seen;	  /* wl_node.serial of the last report that listed the run */
 	uint32_t percent;
 	int64_t percent_at;  /* when the worker last listed the run */
 	int64_t progress_at; /* when percent last changed */
-	/* Progress that the run began with, and when: a resumed run does not begin with none.
-	 */
+	/* First known progress and its time; a resumed run does not start at 0 percent. */
 	uint32_t base_percent;
 	int64_t base_at;
 	uint32_t pace;
 	uint32_t figure;
-	/* The worker that failed or refused it last is taken only when no other fits. */
+	/* The worker that last failed or refused the task; used only if no other fits. */
 	const struct wl_node *avoid;
 	TAILQ_ENTRY(wl_task) on_node;
 };
 
-/* One step of one occurrence. */
+/* One step of one occurrence of a job: the entity that is scheduled. */
 struct wl_unit {
 	struct wl_job *job;
 	const struct wl_step *step;
@@ -84,7 +86,7 @@
 	struct wl_task *tasks;
 	uint32_t done;
 	uint32_t waiting;
-	/* Of a gang: its attempt, its failures and the checkpoint that all members share. */
+	/* Last attempt of any task; failures of a gang as a whole. */
 	uint32_t attempt;
 	uint32_t failures;
 	uint32_t failed_attempt;
@@ -99,29 +101,29 @@
 	uint32_t state;
 	int64_t added_at;
 	int64_t ended_ms;
-	/* Occurrences that are open; units are occurrence-major. */
+	/* Units by occurrence, then by step; only of occurrences that are due. */
 	struct wl_unit **occurrences;
 	uint32_t occurrences_len;
 	uint32_t occurrences_done;
 	uint64_t version;
-	uint64_t stored;
-	/* Newer checkpoints of runs are known than the store has, and when it was told last. */
+	uint64_t stored; /* last version known to be stored */
+	/* Checkpoints are newer than the stored ones; when they were last written. */
 	bool checkpoints_due;
 	int64_t checkpoints_at;
-	/* Terms of the queue, as the newest configuration that has it says. */
+	/* Settings of the queue, from the latest configuration that contains it. */
 	uint32_t priority;
 	uint32_t attempts_max;
 	double stretch;
 	int64_t target;
 	const char *service;
 	bool approval;
-	/* Expected run times by step, as of how much had been learned. */
+	/* Cached run time estimates by step, valid while wl.recorded_runs is unchanged. */
 	int64_t *estimates;
-	unsigned int estimates_of;
+	unsigned int estimates_runs;
 	TAILQ_ENTRY(wl_job) entry;
 };
 
-/* A run that is listed by a worker and is not the current run of a task. */
+/* A run that a worker reports but that is not the current run of any task. */
 struct wl_ghost {
 	char *task;
 	uint32_t attempt;
@@ -129,7 +131,7 @@
 	int64_t stop_sent;
 };
 
-/* An end whose effect is stored once the job's version is. */
+/* A finished run that is acknowledged once the job's version is stored. */
 struct wl_end_note {
 	uint64_t number;
 	struct wl_job *job;
@@ -144,30 +146,33 @@
 	char *rack;
 	GPtrArray *labels;
 	struct wl_need capacity;
-	bool expected; /* may hold tasks of an earlier coordinator; has not reported */
-	bool linked;
+	bool expected; /* may run tasks of an earlier coordinator; no report yet */
+	bool linked;   /* its agent is connected */
 	bool draining;
 	bool left;
 	int64_t drain_until;
 	int64_t silent_at;
 	int64_t blocked_until;
-	double strikes;
+	double strikes; /* failure score as of strikes_at; decays over time */
 	int64_t strikes_at;
-	uint64_t serial;
+	uint64_t serial; /* number of reports received */
+	/* Numbers of finished runs: processed, stored, and acknowledged to the worker. */
 	uint64_t ends_seen;
 	uint64_t ends_stored;
 	uint64_t ends_told;
 	GArray *end_notes;
 	GPtrArray *ghosts;
-	struct wl_room free; /* recomputed by each pass */
-	struct wl_room soon; /* free, and what is being stopped */
-	bool usable;	     /* new tasks may go there, as of this pass */
-	/* Left empty for urgent work that may come. */
+	struct wl_available free;	      /* unallocated; recomputed by each pass */
+	struct wl_available free_after_stops; /* free, plus what is being stopped */
+	bool usable;			      /* accepts new tasks in this pass */
+	/* Kept free for urgent jobs that may arrive. */
 	bool headroom;
-	/* From then on room is kept for a unit that waits; 0 for none. What is left beside it.
+	/*
+	 * Time from which resources are reserved for a waiting unit, 0 for none, and what the
+	 * reservation leaves to others.
 	 */
-	int64_t kept_from;
-	struct wl_room beside_kept;
+	int64_t reserved_from;
+	struct wl_available unreserved;
 	TAILQ_HEAD(, wl_task) tasks;
 };
 
@@ -180,14 +185,14 @@
 	TAILQ_HEAD(, wl_job) list;
 	GPtrArray *nodes;
 	uint64_t ordinal;
-	/* Run times by queue. */
+	/* Run time statistics by queue. */
 	GHashTable *learned;
-	unsigned int learned_runs;
-	/* Accelerators that an urgent job asks for, a moving mean. */
-	double urgent_size;
-	/* Room, work or workers have come since the last pass. */
+	unsigned int recorded_runs;
+	/* Moving average of the accelerators that urgent jobs request. */
+	double mean_urgent_size;
+	/* Resources, jobs or workers were added or freed since the last pass. */
 	bool changed;
-	/* The unit that is being placed may take the headroom. */
+	/* Whether the unit that is being placed may use headroom workers. */
 	bool may_use_headroom;
 };
 
@@ -204,7 +209,7 @@
 int64_t job_next_due(const struct wl_job *j);
 bool unit_turn(const struct wl_unit *u);
 
-/* wl-run.c: the life of a run. */
+/* wl-run.c */
 void task_attach(struct wl_task *t, struct wl_node *n, uint32_t attempt);
 void task_detach(struct wl_task *t, int64_t now);
 void task_stop(struct wl_task *t, int64_t now, const char *why, const char *for_whom);
@@ -228,53 +233,56 @@
 void node_clear_strikes(struct wl_node *n);
 
 /* wl-place.c */
-bool room_fits(const struct wl_room *r, const struct wl_need *n);
-void room_take(struct wl_room *r, const struct wl_need *n);
-void room_give(struct wl_room *r, const struct wl_need *n);
-bool node_suits(const struct wl_node *n, const struct wl_unit *u);
-/* Which room a plan counts on. */
-enum plan_room {
-	PLAN_FREE,
-	PLAN_SOON
+bool resources_fit(const struct wl_available *r, const struct wl_need *n);
+void resources_deduct(struct wl_available *r, const struct wl_need *n);
+void resources_add(struct wl_available *r, const struct wl_need *n);
+bool node_eligible(const struct wl_node *n, const struct wl_unit *u);
+/* Which resources a placement may use: those free now, or also those being stopped. */
+enum placement_view {
+	VIEW_FREE,
+	VIEW_AFTER_STOPS
 };
-struct plan {
+/* A task and the worker chosen for it. */
+struct placement {
 	struct wl_task *task;
 	struct wl_node *node;
 };
-uint32_t place_unit(struct wl *w, struct wl_unit *u, int64_t now, enum plan_room room,
+uint32_t place_unit(struct wl *w, struct wl_unit *u, int64_t now, enum placement_view view,
 	bool anywhere, GArray *out);
-bool spread_allows(const struct wl_unit *u, const struct wl_node *n, const GArray *plan);
-void plan_undo(GArray *plan, guint from, enum plan_room which);
-GPtrArray *racks_of(const struct wl *w);
+bool below_worker_limit(const struct wl_unit *u, const struct wl_node *n, const GArray *plan);
+void placements_undo(GArray *plan, guint from, enum placement_view view);
+GPtrArray *list_racks(const struct wl *w);
 bool rack_feasible(const struct wl *w, const struct wl_unit *u);
-bool unit_is_local(const struct wl_unit *u);
+bool unit_prefers_rack(const struct wl_unit *u);
 bool unit_may_spread(const struct wl *w, const struct wl_unit *u, int64_t now);
 
 /* wl-headroom.c */
 void headroom_note_job(struct wl *w, const struct wl_job *j);
-void headroom_choose(struct wl *w);
+void headroom_select(struct wl *w);
 
-/* wl-keep.c */
-enum keep_trust {
-	KEEP_ESTIMATES,
-	/* Runs that have not shown any progress count as never ending. */
-	KEEP_PROGRESS
+/* wl-reserve.c */
+/* How the end of a run is predicted. */
+enum reservation_basis {
+	RESERVE_BY_ESTIMATE,
+	/* Runs without a known progress rate are assumed never to end. */
+	RESERVE_BY_PROGRESS
 };
-bool keep_room(struct wl *w, struct wl_unit *u, int64_t now, bool anywhere,
-	enum keep_trust trust, int64_t until);
+bool reserve_resources(struct wl *w, struct wl_unit *u, int64_t now, bool anywhere,
+	enum reservation_basis basis, int64_t until);
 
-/* wl-learn.c */
-void learn_run(struct wl_task *t, int64_t took);
+/* wl-estimate.c */
+void learn_run(struct wl_task *t, int64_t duration);
 int64_t step_estimate(struct wl_job *j, const struct wl_step *s);
 
 /* wl-health.c */
-bool task_shows_progress(const struct wl_task *t);
+bool task_has_progress_rate(const struct wl_task *t);
 int64_t task_remaining(const struct wl_task *t, int64_t now);
 void task_progress(struct wl_task *t, int64_t now, uint32_t percent);
 void health_check(struct wl *w, int64_t now);
 
 /* wl-reclaim.c */
-bool reclaim_for(struct wl *w, struct wl_unit *u, int64_t now, bool entitled, GArray *plan);
+bool reclaim_for_unit(
+	struct wl *w, struct wl_unit *u, int64_t now, bool entitled, GArray *plan);
 bool unit_entitled(const struct wl *w, const struct wl_unit *u);
 
 #endif
