--- a/packages/workload/wl-pass.c
+++ b/packages/workload/wl-pass.c
@@ -2,24 +2,26 @@
 
 #include <inttypes.h>
 
-/* How many units that find no place may keep room for themselves, in order. */
+/* Units without a placement that may reserve resources in one pass, in scheduling order. */
 #define RESERVATIONS_MAX 3
-/* A gang whose members cannot all be found is started again after this. */
+/* A gang that has run incomplete for this long is stopped, to be restarted as a whole. */
 #define GANG_RESTART_DELAY (2 * NSEC_PER_SEC)
-/* Checkpoints of a job are stored at most so often; all jobs share one write. */
+/* Minimum interval between stores of a job's checkpoints; all jobs share one write. */
 #define CHECKPOINT_STORE_INTERVAL (2 * NSEC_PER_SEC)
-/* Work with more than this share of its objective to spare leaves the headroom alone. */
+/* Units with more slack than this share of their objective don't use the headroom. */
 #define DEFER_SLACK_SHARE 0.25
-/* No work waits longer than this because of the headroom: a full queue needs every worker. */
+/* Longest wait caused by the headroom: a long queue needs every worker. */
 #define HEADROOM_WAIT_MAX (3 * NSEC_PER_SEC)
-/* A job that takes so many times its objective is of no use to its caller any more. */
+/* A job that exceeds its objective by this factor is no longer of use to its caller. */
 #define EXPIRED_FACTOR 3
-/* Room is made for an urgent unit so long before it is too late. */
+/* Other runs are preempted for an urgent unit this long before it would become late. */
 #define PREEMPTION_MARGIN (500 * NSEC_PER_MSEC)
-/* Without events, a pass after at most this. */
+/* Longest time between passes. */
 #define IDLE_PASS_INTERVAL NSEC_PER_SEC
+/* Longest time to the next pass after one that had units to place. */
+#define WAITING_PASS_INTERVAL (100 * NSEC_PER_MSEC)
 
-/* Compute the room of each worker from what is attached to it, and whether it takes more. */
+/* Computes the free resources of each worker, and whether it accepts new tasks. */
 static void compute_available(struct wl *w, int64_t now)
 {
 	for (guint i = 0; i < w->nodes->len; i++) {
@@ -45,19 +47,19 @@
 	}
 }
 
-/* A unit whose turn has come, with its place in the order. */
+/* A unit that can be placed now, with its sort keys. */
 struct candidate {
 	struct wl_unit *unit;
 	bool entitled;
-	/* Time left until it must start to meet its objective; late ones go behind. */
+	/* Time until it must start to meet its objective; if late, until it expires. */
 	int64_t slack;
-	/* 0: can be in time; 1: late, and still of use; 2: of no use to its caller any more. */
+	/* 0: can meet its objective; 1: late but still of use; 2: expired, of no more use. */
 	int lateness;
-	/* Has more than a share of its objective left before it must start. */
+	/* Has enough slack to leave the headroom to urgent jobs. */
 	bool can_defer;
 };
 
-/* The longest chain of estimates from a step to the end of the job. */
+/* Estimated time of the longest dependency chain from a step to the end of the job. */
 static int64_t critical_path_from(struct wl_job *j, uint32_t step)
 {
 	int64_t successors = 0;
@@ -71,7 +73,7 @@
 	return step_estimate(j, &j->spec.steps[step]) + successors;
 }
 
-/* The longest chain of the whole job. */
+/* Estimated time of the longest dependency chain of a job. */
 static int64_t critical_path(struct wl_job *j)
 {
 	int64_t longest = 0;
@@ -81,7 +83,10 @@
 	return longest;
 }
 
-/* Order: by priority; within, those that still can be in time by slack, then the late ones. */
+/*
+ * Expired units come last. The others are ordered by priority, then units within their
+ * guarantee first, then those that can meet their objective, then by slack.
+ */
 static gint compare_candidates(gconstpointer pa, gconstpointer pb)
 {
 	const struct candidate *a = pa;
@@ -102,7 +107,7 @@
 	return a->unit < b->unit ? -1 : 1;
 }
 
-/* A gang that has lost members stops the rest, so that it can start again whole. */
+/* Stops the remaining members of a gang that has lost some, so that it can restart whole. */
 static void stop_incomplete_gang(struct wl_unit *u, int64_t now)
 {
 	uint32_t attached = 0;
@@ -114,10 +119,10 @@
 	}
 	if (attached == 0 || u->waiting == 0 || now - newest < GANG_RESTART_DELAY)
 		return;
-	unit_stop(u, now, "the gang is not whole", NULL);
+	unit_stop(u, now, "the gang is incomplete", NULL);
 }
 
-/* Whether a unit may be placed now. */
+/* Whether a unit has waiting tasks that can be placed now; stops incomplete gangs. */
 static bool can_place(struct wl_unit *u, int64_t now)
 {
 	if (u->is_done || u->waiting == 0 || u->retry_at > now || !unit_turn(u))
@@ -129,7 +134,7 @@
 	return true;
 }
 
-/* Add the units of a job that may be placed now. */
+/* Appends the units of a job that can be placed now. */
 static void collect_candidates(struct wl *w, struct wl_job *j, int64_t now, GArray *out)
 {
 	int64_t chain = critical_path(j);
@@ -160,7 +165,7 @@
 	}
 }
 
-/* Place the tasks of a plan: the orders go out once the places are stored. */
+/* Assigns the planned workers; start orders are sent once the placements are stored. */
 static void commit_placements(struct wl *w, struct wl_unit *u, const GArray *plan, int64_t now)
 {
 	uint32_t attempt = next_attempt(w, u->attempt);
@@ -186,7 +191,7 @@
 	job_dirty(j);
 }
 
-/* Take from both rooms what a plan on one of them has taken. */
+/* Deducts a plan from the other view as well; planning deducted it from the used one. */
 static void deduct_from_other_view(const GArray *plan, enum placement_view used)
 {
 	for (guint i = 0; i < plan->len; i++) {
@@ -198,17 +203,17 @@
 	}
 }
 
-/* Try one kind of room; the plan is kept where it places enough. */
+/* Plans a unit on one view, first within its preferred rack; false if nothing was placed. */
 static bool try_placement(
-	struct wl *w, struct wl_unit *u, int64_t now, enum placement_view room, GArray *plan)
+	struct wl *w, struct wl_unit *u, int64_t now, enum placement_view view, GArray *plan)
 {
-	if (place_unit(w, u, now, room, false, plan) > 0)
+	if (place_unit(w, u, now, view, false, plan) > 0)
 		return true;
 	return unit_prefers_rack(u) && unit_may_spread(w, u, now) &&
-	       place_unit(w, u, now, room, true, plan) > 0;
+	       place_unit(w, u, now, view, true, plan) > 0;
 }
 
-/* Whether an urgent unit will be late unless room is made for it now. */
+/* Whether an urgent unit becomes late unless other runs are preempted for it now. */
 static bool needs_preemption(const struct wl *w, const struct candidate *c)
 {
 	return c->unit->job->priority == 0 && c->lateness == 0 &&
@@ -216,8 +221,8 @@
 }
 
 /*
- * Whether room will come by itself before an urgent unit would be late: then nothing is stopped
- * for it, and that room is kept.
+ * Whether runs that end by themselves free enough resources before an urgent unit becomes late.
+ * If so, reserves these resources, and nothing needs to be preempted.
  */
 static bool can_wait(struct wl *w, const struct candidate *c, int64_t now)
 {
@@ -230,7 +235,10 @@
 		       RESERVE_BY_PROGRESS, until);
 }
 
-/* Place a unit, wait for room that is being freed, or make room for it. */
+/*
+ * Places a unit. Failing that, claims resources that are being freed, preempts other runs if
+ * the unit is urgent, or reserves future resources.
+ */
 static void schedule_unit(
 	struct wl *w, struct candidate *c, int64_t now, unsigned int *reservations)
 {
@@ -245,7 +253,7 @@
 		g_array_set_size(plan, 0);
 	}
 	if (u->step->gang || u->job->priority == 0) {
-		/* What is being stopped is kept for those that wait for it, in order. */
+		/* Resources being freed go to waiting units in scheduling order. */
 		if (try_placement(w, u, now, VIEW_AFTER_STOPS, plan) &&
 			plan->len == u->waiting) {
 			deduct_from_other_view(plan, VIEW_AFTER_STOPS);
@@ -268,7 +276,7 @@
 	}
 }
 
-/* Have what runs have saved stored, now and then: a whole fleet may lose power. */
+/* Periodically stores new checkpoints, in case all VMs lose power. */
 static void store_checkpoints(struct wl_job *j, int64_t now)
 {
 	if (!j->checkpoints_due || now - j->checkpoints_at < CHECKPOINT_STORE_INTERVAL)
@@ -278,13 +286,12 @@
 	job_dirty(j);
 }
 
-/* Whether something has happened since the last pass that may let work start. */
 bool wl_wants_pass(const struct wl *w)
 {
 	return w->changed;
 }
 
-/* Place what can be placed. */
+/* Collects the units that can be placed, sorts them and schedules each. */
 int64_t wl_pass(struct wl *w, int64_t now, int64_t wall)
 {
 	g_autoptr(GArray) order = g_array_new(FALSE, FALSE, sizeof(struct candidate));
@@ -323,5 +330,5 @@
 				      now - c->unit->ready_at > HEADROOM_WAIT_MAX;
 		schedule_unit(w, c, now, &reservations);
 	}
-	return order->len > 0 ? MIN(next, 100 * NSEC_PER_MSEC) : next;
+	return order->len > 0 ? MIN(next, WAITING_PASS_INTERVAL) : next;
 }
