--- a/packages/workload/wl-pass.c
+++ b/packages/workload/wl-pass.c
@@ -47,14 +47,19 @@
 	}
 }
 
+enum {
+	UNIT_ON_TIME, /* can meet its objective */
+	UNIT_LATE,
+	UNIT_EXPIRED /* of no more use to its caller */
+};
+
 /* A unit that can be placed now, with its sort keys. */
 struct candidate {
 	struct wl_unit *unit;
 	bool entitled;
 	/* Time until it must start to meet its objective; if late, until it expires. */
 	int64_t slack;
-	/* 0: can meet its objective; 1: late but still of use; 2: expired, of no more use. */
-	int lateness;
+	int lateness; /* UNIT_* */
 	/* Has enough slack to leave the headroom to urgent jobs. */
 	bool can_defer;
 };
@@ -94,8 +99,8 @@
 	const struct wl_job *ja = a->unit->job;
 	const struct wl_job *jb = b->unit->job;
 
-	if ((a->lateness == 2) != (b->lateness == 2))
-		return a->lateness == 2 ? 1 : -1;
+	if ((a->lateness == UNIT_EXPIRED) != (b->lateness == UNIT_EXPIRED))
+		return a->lateness == UNIT_EXPIRED ? 1 : -1;
 	if (ja->priority != jb->priority)
 		return ja->priority < jb->priority ? -1 : 1;
 	if (a->entitled != b->entitled)
@@ -158,7 +163,7 @@
 			c.can_defer = c.slack > (int64_t)(DEFER_SLACK_SHARE * (double)allowed);
 			if (c.slack < 0) {
 				c.slack += (EXPIRED_FACTOR - 1) * allowed;
-				c.lateness = c.slack < 0 ? 2 : 1;
+				c.lateness = c.slack < 0 ? UNIT_EXPIRED : UNIT_LATE;
 			}
 			g_array_append_val(out, c);
 		}
@@ -216,7 +221,7 @@
 /* Whether an urgent unit becomes late unless other runs are preempted for it now. */
 static bool needs_preemption(const struct wl *w, const struct candidate *c)
 {
-	return c->unit->job->priority == 0 && c->lateness == 0 &&
+	return c->unit->job->priority == 0 && c->lateness == UNIT_ON_TIME &&
 	       c->slack < w->limits.stop_max + PREEMPTION_MARGIN;
 }
 
@@ -230,7 +235,7 @@
 				   w->limits.stop_max - RECLAIM_MARGIN;
 	int64_t until = MIN(now + c->slack - PREEMPTION_MARGIN, reclaim_deadline);
 
-	return c->lateness == 0 && until > now &&
+	return c->lateness == UNIT_ON_TIME && until > now &&
 	       reserve_resources(w, c->unit, now, unit_may_spread(w, c->unit, now),
 		       RESERVE_BY_PROGRESS, until);
 }
@@ -325,8 +330,8 @@
 			headroom_select(w);
 			headroom_selected = true;
 		}
-		w->may_use_headroom = c->unit->job->priority == 0 || c->lateness > 0 ||
-				      !c->can_defer ||
+		w->may_use_headroom = c->unit->job->priority == 0 ||
+				      c->lateness > UNIT_ON_TIME || !c->can_defer ||
 				      now - c->unit->ready_at > HEADROOM_WAIT_MAX;
 		schedule_unit(w, c, now, &reservations);
 	}
