--- a/packages/workload/wl-place.c
+++ b/packages/workload/wl-place.c
@@ -1,11 +1,11 @@
 #include "wl-private.h"
 
-/* Of the time that a unit loses off its rack, it waits so much for a place there. */
+/* A unit waits for its rack up to this share of the time that it would lose elsewhere. */
 #define SPREAD_WAIT_SHARE 0.5
-/* A worker with more than this held against it is taken only when no other fits. */
+/* Workers with a higher failure score are used only if no other fits. */
 #define FAILURE_SCORE_AVOID 0.7
 
-/* Whether a need fits into a room. */
+/* Whether the available resources cover a request. */
 bool resources_fit(const struct wl_available *r, const struct wl_need *n)
 {
 	return r->cores_m >= n->cores_m && r->memory_mb >= n->memory_mb &&
@@ -36,7 +36,7 @@
 	return false;
 }
 
-/* Whether tasks of a unit may run on a worker at all, as of this pass. */
+/* Whether a worker accepts tasks of a unit in this pass; doesn't check its resources. */
 bool node_eligible(const struct wl_node *n, const struct wl_unit *u)
 {
 	return n->usable && (!n->headroom || n->wl->may_use_headroom) &&
@@ -44,7 +44,7 @@
 	       (u->step->label == NULL || has_label(n, u->step->label));
 }
 
-/* Runs of the unit on a worker, with those of the plan. */
+/* Number of tasks of a unit on a worker, including the planned ones. */
 static uint32_t count_on_node(
 	const struct wl_unit *u, const struct wl_node *n, const GArray *plan)
 {
@@ -60,14 +60,14 @@
 	return count;
 }
 
-/* Whether one more task of a unit may go to a worker beside those that are there. */
+/* Whether per_worker_max allows one more task of a unit on a worker. */
 bool below_worker_limit(const struct wl_unit *u, const struct wl_node *n, const GArray *plan)
 {
 	return u->step->per_worker_max == 0 ||
 	       count_on_node(u, n, plan) < u->step->per_worker_max;
 }
 
-/* What counts against putting a task on a worker; smaller is better. */
+/* Cost of placing a task on a worker, most significant first; lower is better. */
 struct place_cost {
 	double unreliability;
 	int64_t off_rack;
@@ -87,7 +87,7 @@
 		.cores_left = r->cores_m - need->cores_m};
 }
 
-/* Whether a is better than b: trusted, near its data, and the tightest fit. */
+/* Prefers reliable workers, then the rack of the data, then the tightest fit. */
 static bool cost_is_lower(const struct place_cost *a, const struct place_cost *b)
 {
 	if (a->unreliability != b->unreliability)
@@ -99,13 +99,13 @@
 	return a->cores_left < b->cores_left;
 }
 
-/* The room of a node that a plan counts on. */
+/* Available resources of a node in a view. */
 static struct wl_available *available_on(struct wl_node *n, enum placement_view view)
 {
 	return view == VIEW_FREE ? &n->free : &n->free_after_stops;
 }
 
-/* Whether a task leaves the room that is kept on a worker for an earlier one. */
+/* Whether a task ends before a worker's reservation begins, or fits beside it. */
 static bool respects_reservation(const struct wl_node *n, const struct wl_task *t,
 	const struct wl_need *need, int64_t now)
 {
@@ -114,7 +114,7 @@
 	       resources_fit(&n->unreserved, need);
 }
 
-/* The best worker for a task, in one rack where rack is not NULL. */
+/* Cheapest worker that fits a task, or NULL; a non-NULL rack restricts the search to it. */
 static struct wl_node *best_node(struct wl *w, const struct wl_task *t, int64_t now,
 	enum placement_view view, const char *rack, const GArray *plan)
 {
@@ -143,7 +143,7 @@
 	return best;
 }
 
-/* Place the waiting tasks of a unit one by one; returns how many found a place. */
+/* Plans the waiting tasks of a unit one by one; returns how many were placed. */
 static uint32_t place_tasks(struct wl *w, struct wl_unit *u, int64_t now,
 	enum placement_view view, const char *rack, GArray *out)
 {
@@ -160,7 +160,7 @@
 		if (p.node == NULL) {
 			if (u->step->gang)
 				break;
-			/* All tasks of a unit ask for the same. */
+			/* All tasks request the same: the next one would not fit either. */
 			if (t->avoid == NULL)
 				break;
 			continue;
@@ -172,7 +172,7 @@
 	return placed;
 }
 
-/* Take back the plan behind a position. */
+/* Removes the placements from a position on and returns their resources. */
 void placements_undo(GArray *plan, guint from, enum placement_view view)
 {
 	for (guint i = from; i < plan->len; i++) {
@@ -184,7 +184,7 @@
 	g_array_set_size(plan, from);
 }
 
-/* The names of all racks; owned by the nodes. */
+/* Names of all racks; the nodes own the strings. */
 GPtrArray *list_racks(const struct wl *w)
 {
 	GPtrArray *out = g_ptr_array_new();
@@ -201,7 +201,7 @@
 	return out;
 }
 
-/* The rack where a rack-local unit already runs, or NULL. */
+/* Rack in which tasks of a unit already run, or NULL. */
 static const char *rack_in_use(const struct wl_unit *u)
 {
 	for (uint32_t i = 0; i < u->step->count; i++) {
@@ -211,7 +211,7 @@
 	return NULL;
 }
 
-/* Accelerators, then cores, that a plan leaves free on the workers that it uses. */
+/* Accelerators, then cores, that remain free on the workers of a plan. */
 static int64_t stranded_capacity(const GArray *plan, guint from, enum placement_view view)
 {
 	int64_t sum = 0;
@@ -225,7 +225,7 @@
 	return sum;
 }
 
-/* Place a rack-local unit whole in one rack, the one that it fits most tightly. */
+/* Plans a rack-local unit completely within one rack, the one with the tightest fit. */
 static uint32_t place_in_rack(
 	struct wl *w, struct wl_unit *u, int64_t now, enum placement_view view, GArray *out)
 {
@@ -256,8 +256,8 @@
 }
 
 /*
- * Plan places for the waiting tasks of a unit and take their room: of a gang for all or none.
- * anywhere lets a rack-local unit spread over racks. Returns how many were placed.
+ * Plans the waiting tasks of a unit, for a gang all or none, and deducts their resources from
+ * the view. anywhere allows tasks outside the preferred rack. Returns how many were placed.
  */
 uint32_t place_unit(struct wl *w, struct wl_unit *u, int64_t now, enum placement_view view,
 	bool anywhere, GArray *out)
@@ -275,7 +275,7 @@
 	return placed;
 }
 
-/* Whether tasks of a unit could run on a worker once it is in reach and healthy. */
+/* Whether a worker would accept tasks of a unit if it were reachable and healthy. */
 static bool node_potentially_eligible(const struct wl_node *n, const struct wl_unit *u)
 {
 	return !n->left && !n->draining && n->life != NULL &&
@@ -283,7 +283,7 @@
 	       (u->step->label == NULL || has_label(n, u->step->label));
 }
 
-/* Whether some rack could hold a rack-local unit if it were empty and all of it in reach. */
+/* Whether a rack could hold the unit if it were empty and its workers reachable. */
 bool rack_feasible(const struct wl *w, const struct wl_unit *u)
 {
 	g_autoptr(GPtrArray) racks = list_racks(w);
@@ -320,15 +320,16 @@
 	return false;
 }
 
-/* Whether it matters in which rack the tasks of a unit run. */
+/* Whether a unit should run within one rack or in the rack of its data. */
 bool unit_prefers_rack(const struct wl_unit *u)
 {
 	return u->step->rack_local || u->step->data_rack != NULL;
 }
 
 /*
- * Whether a unit may leave its rack now: where that cannot hold it, where it has waited as long
- * as a share of the time that it loses elsewhere, or where its guarantee is due.
+ * Whether a unit may be placed outside its preferred rack: if no rack can hold it, if it has
+ * waited for SPREAD_WAIT_SHARE of the time that it would lose elsewhere, or if waiting any
+ * longer would miss the start time of its guarantee.
  */
 bool unit_may_spread(const struct wl *w, const struct wl_unit *u, int64_t now)
 {
