--- a/packages/workload/wl-reserve.c
+++ b/packages/workload/wl-reserve.c
@@ -1,18 +1,19 @@
 #include "wl-private.h"
 
 /*
- * Room for units that find none: on each worker that will have room for a task of theirs
- * first, later units may only take what they give back by then, or what is left beside it.
- * Without this, large tasks starve behind small ones on workers that never become empty.
+ * Reservations for units that cannot be placed yet, on the workers that will be able to hold
+ * them first. Units later in the order may use such a worker only if they end before the
+ * reservation begins or fit beside it (backfilling). Without reservations, small tasks would
+ * keep workers from ever becoming free enough for large ones, which would starve.
  */
 
-/* A run that will end, and what that frees. */
+/* Expected end of a run and the resources that it frees. */
 struct pending_release {
 	int64_t at;
 	struct wl_need need;
 };
 
-/* Order by the time that is the first field of both structs here. */
+/* Compares by time, the first member of both structs that are sorted here. */
 static gint compare_times(gconstpointer a, gconstpointer b)
 {
 	int64_t x = *(const int64_t *)a;
@@ -21,16 +22,19 @@
 	return x < y ? -1 : x > y;
 }
 
-/* When a worker will have room for a need, and how much then; INT64_MAX for never. */
+/*
+ * Returns when a worker will be able to hold a request, INT64_MAX for never, and stores what
+ * will be available then.
+ */
 static int64_t available_at(const struct wl_node *n, const struct wl_need *need, int64_t now,
-	enum reservation_basis basis, struct wl_available *room)
+	enum reservation_basis basis, struct wl_available *available)
 {
 	g_autoptr(GArray) ends = g_array_new(FALSE, FALSE, sizeof(struct pending_release));
 	const struct wl_task *t;
 
-	*room = n->free;
+	*available = n->free;
 	TAILQ_FOREACH(t, &n->tasks, on_node) {
-		struct pending_release f = {.at = now, .need = task_need(t->unit->step)};
+		struct pending_release release = {.at = now, .need = task_need(t->unit->step)};
 
 		if (t->unit->step->long_running && t->phase == TASK_RUNNING)
 			continue;
@@ -38,47 +42,46 @@
 			t->phase != TASK_DONE && !task_has_progress_rate(t))
 			continue;
 		if (t->phase == TASK_PLACED || t->phase == TASK_STARTING)
-			f.at = now + step_estimate(t->unit->job, t->unit->step);
+			release.at = now + step_estimate(t->unit->job, t->unit->step);
 		else if (t->phase == TASK_RUNNING)
-			f.at = now + task_remaining(t, now);
-		g_array_append_val(ends, f);
+			release.at = now + task_remaining(t, now);
+		g_array_append_val(ends, release);
 	}
-	if (resources_fit(room, need))
+	if (resources_fit(available, need))
 		return now;
 	g_array_sort(ends, compare_times);
 	for (guint i = 0; i < ends->len; i++) {
-		const struct pending_release *f =
+		const struct pending_release *release =
 			&g_array_index(ends, struct pending_release, i);
 
-		resources_add(room, &f->need);
-		if (resources_fit(room, need))
-			return f->at;
+		resources_add(available, &release->need);
+		if (resources_fit(available, need))
+			return release->at;
 	}
 	return INT64_MAX;
 }
 
-/* How many tasks of a need fit into a room. */
+/* How often a request fits into the available resources, up to a limit. */
 static uint32_t count_fitting(
-	struct wl_available room, const struct wl_need *need, uint32_t most)
+	struct wl_available available, const struct wl_need *need, uint32_t max)
 {
 	uint32_t n = 0;
 
-	while (n < most && resources_fit(&room, need)) {
-		resources_deduct(&room, need);
+	while (n < max && resources_fit(&available, need)) {
+		resources_deduct(&available, need);
 		n++;
 	}
 	return n;
 }
 
-/* A place where room may be kept. */
+/* A reservation on one worker: when it begins, and what it leaves to others. */
 struct reservation {
 	int64_t at;
 	struct wl_node *node;
 	struct wl_available remainder;
 };
 
-/* The workers that will have room for a task of the unit and keep none yet, the first ones
- * first. */
+/* Workers without a reservation that will be able to hold a task of the unit, by time. */
 static GArray *reservation_candidates(
 	struct wl *w, const struct wl_unit *u, int64_t now, enum reservation_basis basis)
 {
@@ -86,21 +89,21 @@
 	struct wl_need need = task_need(u->step);
 
 	for (guint i = 0; i < w->nodes->len; i++) {
-		struct reservation k = {.node = w->nodes->pdata[i]};
+		struct reservation r = {.node = w->nodes->pdata[i]};
 
-		if (!node_eligible(k.node, u) || k.node->reserved_from != 0)
+		if (!node_eligible(r.node, u) || r.node->reserved_from != 0)
 			continue;
-		k.at = available_at(k.node, &need, now, basis, &k.remainder);
-		if (k.at != INT64_MAX)
-			g_array_append_val(out, k);
+		r.at = available_at(r.node, &need, now, basis, &r.remainder);
+		if (r.at != INT64_MAX)
+			g_array_append_val(out, r);
 	}
 	g_array_sort(out, compare_times);
 	return out;
 }
 
 /*
- * Choose places for all waiting tasks, in one rack where rack is not NULL; returns when the
- * last one has room.
+ * Plans reservations for all waiting tasks, within a rack if it is not NULL; returns when the
+ * last one can start, INT64_MAX for never.
  */
 static int64_t plan_reservations(const struct wl_unit *u, int64_t now, const GArray *candidates,
 	const char *rack, GArray *out)
@@ -111,22 +114,22 @@
 
 	g_array_set_size(out, 0);
 	for (guint i = 0; i < candidates->len && remaining > 0; i++) {
-		struct reservation k = g_array_index(candidates, struct reservation, i);
+		struct reservation r = g_array_index(candidates, struct reservation, i);
 		uint32_t fitting;
 
-		if (rack != NULL && g_strcmp0(rack, k.node->rack) != 0)
+		if (rack != NULL && g_strcmp0(rack, r.node->rack) != 0)
 			continue;
-		fitting = count_fitting(k.remainder, &need, remaining);
+		fitting = count_fitting(r.remainder, &need, remaining);
 		for (uint32_t n = 0; n < fitting; n++)
-			resources_deduct(&k.remainder, &need);
+			resources_deduct(&r.remainder, &need);
 		remaining -= fitting;
-		last = MAX(last, k.at);
-		g_array_append_val(out, k);
+		last = MAX(last, r.at);
+		g_array_append_val(out, r);
 	}
 	return remaining > 0 ? INT64_MAX : last;
 }
 
-/* Find where room for all waiting tasks comes first; returns when, INT64_MAX for never. */
+/* Plans the reservations that let all waiting tasks start first; returns as above. */
 static int64_t plan_earliest(struct wl *w, const struct wl_unit *u, int64_t now, bool anywhere,
 	enum reservation_basis basis, GArray *best)
 {
@@ -152,8 +155,8 @@
 }
 
 /*
- * Keep room for the waiting tasks of a unit where it comes first, if that is not after until;
- * false, with nothing kept, where it is.
+ * Reserves resources for the waiting tasks of a unit where they can start first. Reserves
+ * nothing and returns false if that is after until.
  */
 bool reserve_resources(struct wl *w, struct wl_unit *u, int64_t now, bool anywhere,
 	enum reservation_basis basis, int64_t until)
@@ -164,11 +167,11 @@
 	if (earliest == INT64_MAX || earliest > until)
 		return false;
 	for (guint i = 0; i < best->len; i++) {
-		const struct reservation *k = &g_array_index(best, struct reservation, i);
+		const struct reservation *r = &g_array_index(best, struct reservation, i);
 
-		/* A gang needs all of them at once. */
-		k->node->reserved_from = u->step->gang ? earliest : MAX(k->at, now + 1);
-		k->node->unreserved = k->remainder;
+		/* The members of a gang start together. */
+		r->node->reserved_from = u->step->gang ? earliest : MAX(r->at, now + 1);
+		r->node->unreserved = r->remainder;
 	}
 	return true;
 }
