--- a/packages/workload/wl-reclaim.c
+++ b/packages/workload/wl-reclaim.c
@@ -2,12 +2,14 @@
 
 #include <inttypes.h>
 
-/* An accelerator counts as so many cores when lost work is weighed. */
+/* Weight of an accelerator in cores when lost work is compared. */
 #define ACCELERATOR_CORES 8
+/* Core-seconds that a worker's failure score of 1 counts as: a few seconds of a worker. */
+#define FAILURE_COST 100.0
 
 /*
- * Accelerators that an organisation's urgent jobs need together: of all that have not ended,
- * counting the widest step of each.
+ * Total accelerators that the unfinished urgent jobs of an organisation need, counting the
+ * largest step of each.
  */
 static uint64_t urgent_demand(const struct wl *w, const char *org)
 {
@@ -15,20 +17,20 @@
 	uint64_t sum = 0;
 
 	TAILQ_FOREACH(j, &w->list, entry) {
-		uint64_t widest = 0;
+		uint64_t largest = 0;
 
 		if (j->priority != 0 || wl_state_ended(j->state) ||
 			g_strcmp0(j->spec.org, org) != 0)
 			continue;
 		for (uint32_t s = 0; s < j->spec.steps_len; s++)
-			widest = MAX(widest, (uint64_t)j->spec.steps[s].count *
-						     j->spec.steps[s].accelerators);
-		sum += widest;
+			largest = MAX(largest, (uint64_t)j->spec.steps[s].count *
+						       j->spec.steps[s].accelerators);
+		sum += largest;
 	}
 	return sum;
 }
 
-/* Whether a unit may take back what its organisation is guaranteed. */
+/* Whether a unit is urgent and its organisation's urgent jobs are within its guarantee. */
 bool unit_entitled(const struct wl *w, const struct wl_unit *u)
 {
 	const struct wl_org *org = wl_config_org(w->config, u->job->spec.org);
@@ -38,8 +40,9 @@
 }
 
 /*
- * Whether the runs of a unit may be stopped: those of lower priority always, urgent ones beyond
- * their organisation's guarantee only for one within its own.
+ * Whether the runs of a unit may be preempted. Those below urgent priority always may, urgent
+ * ones only for a unit within its guarantee and if their own organisation exceeds its
+ * guarantee. Units that limit unavailable tasks are never preempted.
  */
 static bool may_preempt(const struct wl *w, const struct wl_unit *u, bool entitled)
 {
@@ -55,14 +58,14 @@
 	return org == NULL || urgent_demand(w, org->name) > org->guaranteed;
 }
 
-/* Core-seconds that are lost if a task is stopped now. */
+/* Work in core-seconds that is lost if a task is stopped now. */
 static double task_lost_work(const struct wl *w, const struct wl_task *t, int64_t now)
 {
 	const struct wl_step *s = t->unit->step;
 	double cores = s->cores_m / 1000.0 + ACCELERATOR_CORES * (double)s->accelerators;
 	int64_t ran = t->running_at > 0 ? now - t->running_at : 0;
 
-	/* A stop saves what was done. */
+	/* Stopping saves a checkpoint: only the time to restore it is lost. */
 	if (s->checkpoints)
 		ran = MIN(ran, w->limits.restore);
 	if (s->long_running)
@@ -70,7 +73,7 @@
 	return cores * (double)MAX(ran, 0) / (double)NSEC_PER_SEC;
 }
 
-/* What is lost if a task's run goes: a gang goes whole. */
+/* Work that is lost if a task is preempted; a gang is always preempted as a whole. */
 static double victim_lost_work(const struct wl *w, const struct wl_task *t, int64_t now)
 {
 	double sum = 0;
@@ -84,14 +87,14 @@
 	return sum;
 }
 
-/* A set of victims under construction. */
+/* The runs to be stopped for a unit, while they are being selected. */
 struct preemption {
 	GPtrArray *victims;
-	double loss;
-	bool entitled;
+	double loss;   /* core-seconds */
+	bool entitled; /* the unit is within its organisation's guarantee */
 };
 
-/* Whether a task is already among the victims, by itself or with its gang. */
+/* Whether a task or its gang is already selected. */
 static bool is_victim(const struct preemption *c, const struct wl_task *t)
 {
 	for (guint i = 0; i < c->victims->len; i++) {
@@ -103,8 +106,8 @@
 	return false;
 }
 
-/* Give back, or take again, the room that a victim would free everywhere. */
-static void adjust_available(const struct wl_task *v, bool give)
+/* Adds the resources that a victim and its gang would free, or deducts them again. */
+static void adjust_available(const struct wl_task *v, bool add)
 {
 	struct wl_need need = task_need(v->unit->step);
 	const struct wl_unit *u = v->unit;
@@ -116,14 +119,14 @@
 			continue;
 		if (t->node == NULL || t->phase == TASK_STOPPING || t->phase == TASK_DONE)
 			continue;
-		if (give)
+		if (add)
 			resources_add(&t->node->free_after_stops, &need);
 		else
 			resources_deduct(&t->node->free_after_stops, &need);
 	}
 }
 
-/* The cheapest run on a node that may be stopped and is not yet a victim. */
+/* The run on a node that loses least work and would free resources that are short. */
 static struct wl_task *cheapest_victim(const struct wl *w, const struct wl_node *n,
 	const struct preemption *c, const struct wl_need *need, int64_t now)
 {
@@ -139,7 +142,7 @@
 			    t->phase != TASK_PLACED) ||
 			!may_preempt(w, t->unit, c->entitled) || is_victim(c, t))
 			continue;
-		/* A run that frees none of what is short is no help. */
+		/* Skip runs that free no resource that is short. */
 		if (!((need->accelerators > n->free_after_stops.accelerators &&
 			      frees.accelerators > 0) ||
 			    (need->cores_m > n->free_after_stops.cores_m &&
@@ -156,7 +159,7 @@
 	return best;
 }
 
-/* Make room for one task on a node; false, with nothing changed, where that cannot be. */
+/* Selects victims on a node for one task; returns false with no change if that fails. */
 static bool preempt_on_node(struct wl *w, struct wl_node *n, const struct wl_need *need,
 	struct preemption *c, int64_t now)
 {
@@ -181,7 +184,7 @@
 	return true;
 }
 
-/* Undo what a claim has done to the room, from a plan position on. */
+/* Drops all victims and the placements from a position on, and restores the resources. */
 static void preemption_undo(struct preemption *c, GArray *plan, guint from)
 {
 	placements_undo(plan, from, VIEW_AFTER_STOPS);
@@ -191,7 +194,7 @@
 	c->loss = 0;
 }
 
-/* Make room for one more task of a unit where that loses least. */
+/* Plans a task on the worker where preemption loses least work. */
 static bool preempt_for_task(struct wl *w, struct wl_unit *u, struct wl_task *t, int64_t now,
 	const char *rack, struct preemption *c, GArray *plan)
 {
@@ -210,8 +213,7 @@
 		if (node_eligible(n, u) && (rack == NULL || g_strcmp0(rack, n->rack) == 0) &&
 			below_worker_limit(u, n, plan) &&
 			preempt_on_node(w, n, &need, &trial, now)) {
-			/* Suspicion weighs as much as a few seconds of a whole worker. */
-			loss = trial.loss + node_strikes(n, now) * 100.0;
+			loss = trial.loss + node_strikes(n, now) * FAILURE_COST;
 			for (guint k = c->victims->len; k < trial.victims->len; k++)
 				adjust_available(trial.victims->pdata[k], false);
 			if (best == NULL || loss < lowest) {
@@ -229,7 +231,7 @@
 	return true;
 }
 
-/* Make room for all waiting tasks of a unit, in one rack where rack is not NULL. */
+/* Plans all waiting tasks of a unit, within a rack if it is not NULL. */
 static bool preempt_for_unit(struct wl *w, struct wl_unit *u, int64_t now, const char *rack,
 	struct preemption *c, GArray *plan)
 {
@@ -242,7 +244,7 @@
 	return true;
 }
 
-/* Try each rack; the one that loses least is claimed. */
+/* Plans all waiting tasks within the rack where preemption loses least work. */
 static bool preempt_in_rack(
 	struct wl *w, struct wl_unit *u, int64_t now, struct preemption *c, GArray *plan)
 {
@@ -269,7 +271,7 @@
 	return best != NULL && preempt_for_unit(w, u, now, best, c, plan);
 }
 
-/* Core-seconds of work that the waiting tasks of a unit are. */
+/* Work in core-seconds of the waiting tasks of a unit. */
 static double waiting_work(const struct wl_unit *u)
 {
 	const struct wl_step *s = u->step;
@@ -279,9 +281,9 @@
 }
 
 /*
- * Stop other runs to make room for an urgent unit, losing as little work as can be; one without
- * a guarantee never loses more than it is. Its places are added to the plan, counted on the
- * room that will be free soon.
+ * Stops other runs to free resources for an urgent unit, losing as little work as possible. For
+ * a unit that is not within its guarantee, the lost work never exceeds its own. Appends its
+ * placements to the plan, on VIEW_AFTER_STOPS.
  */
 bool reclaim_for_unit(struct wl *w, struct wl_unit *u, int64_t now, bool entitled, GArray *plan)
 {
@@ -306,10 +308,9 @@
 		struct wl_task *v = victims->pdata[i];
 
 		if (v->unit->step->gang)
-			unit_stop(v->unit, now, "its room is guaranteed to another",
-				u->job->spec.id);
+			unit_stop(v->unit, now, "preempted by an urgent job", u->job->spec.id);
 		else
-			task_stop(v, now, "its room is guaranteed to another", u->job->spec.id);
+			task_stop(v, now, "preempted by an urgent job", u->job->spec.id);
 	}
 	return true;
 }
