--- a/packages/workload/wl-estimate.c
+++ b/packages/workload/wl-estimate.c
@@ -3,100 +3,103 @@
 #include <math.h>
 
 /*
- * Callers' estimates may be far off, and by how much differs by queue. What runs of a queue
- * have really taken, and how wrong its estimates were, say how far to trust the next one.
+ * Run time estimates. Callers' estimates can be far off, by an amount that differs by queue.
+ * They are combined with the measured run times of the queue, each weighted by its inverse
+ * variance.
  */
 
-/* An estimate is missing and nothing is known: take a task to run for so long. */
+/* Used if there is neither an estimate nor a measured run. */
 #define ESTIMATE_DEFAULT_MS 5000
-/* Weight of the newest run. */
+/* Weight of the newest run in the moving averages. */
 #define RUN_TIME_WEIGHT 0.08
-/* Before any run: estimates are right within a third, run times within a factor of three. */
+/* Before any run: estimates are within about a third, run times within a factor of three. */
 #define ESTIMATE_VARIANCE_PRIOR 0.1
 #define RUN_TIME_VARIANCE_PRIOR 1.2
 #define VARIANCE_MIN		0.02
-/* Runs shorter than this say more of messages than of work. */
+/* Shorter run times are dominated by message latency. */
 #define RUN_TIME_MIN (20 * NSEC_PER_MSEC)
 
-/* Natural logarithms of milliseconds, and their variances. */
+/* Statistics of a queue, over natural logarithms of run times in milliseconds. */
 struct wl_run_stats {
 	char *queue;
 	unsigned int runs;
 	double mean_log_ms;
 	double variance;
-	double estimate_variance;
+	double estimate_variance; /* mean squared error of callers' estimates */
 };
 
 static void run_stats_free(void *arg)
 {
-	struct wl_run_stats *l = arg;
+	struct wl_run_stats *stats = arg;
 
-	free(l->queue);
-	free(l);
+	free(stats->queue);
+	free(stats);
 }
 
-/* What is known of a queue, made where it is new. */
+/* Returns the statistics of a queue; creates them on first use. */
 static struct wl_run_stats *run_stats_get(struct wl *w, const char *queue)
 {
-	struct wl_run_stats *l;
+	struct wl_run_stats *stats;
 
 	if (w->learned == NULL)
 		w->learned =
 			g_hash_table_new_full(g_str_hash, g_str_equal, NULL, run_stats_free);
-	l = g_hash_table_lookup(w->learned, queue);
-	if (l != NULL)
-		return l;
-	l = xcalloc(1, sizeof(*l));
-	l->queue = xstrdup(queue);
-	l->variance = RUN_TIME_VARIANCE_PRIOR;
-	l->estimate_variance = ESTIMATE_VARIANCE_PRIOR;
-	g_hash_table_insert(w->learned, l->queue, l);
-	return l;
+	stats = g_hash_table_lookup(w->learned, queue);
+	if (stats != NULL)
+		return stats;
+	stats = xcalloc(1, sizeof(*stats));
+	stats->queue = xstrdup(queue);
+	stats->variance = RUN_TIME_VARIANCE_PRIOR;
+	stats->estimate_variance = ESTIMATE_VARIANCE_PRIOR;
+	g_hash_table_insert(w->learned, stats->queue, stats);
+	return stats;
 }
 
-/* A run was done that had begun from nothing. */
+/* Records the run time of a completed run that did not resume from a checkpoint. */
 void learn_run(struct wl_task *t, int64_t duration)
 {
 	const struct wl_step *s = t->unit->step;
-	struct wl_run_stats *l = run_stats_get(t->unit->job->wl, t->unit->job->spec.queue);
+	struct wl_run_stats *stats = run_stats_get(t->unit->job->wl, t->unit->job->spec.queue);
 	double x = log((double)MAX(duration, RUN_TIME_MIN) / (double)NSEC_PER_MSEC);
 	double weight;
 
-	l->runs++;
+	stats->runs++;
 	t->unit->job->wl->recorded_runs++;
-	weight = MAX(RUN_TIME_WEIGHT, 1.0 / l->runs);
-	if (l->runs > 1)
-		l->variance += RUN_TIME_WEIGHT *
-			       ((x - l->mean_log_ms) * (x - l->mean_log_ms) - l->variance);
-	l->mean_log_ms += weight * (x - l->mean_log_ms);
+	weight = MAX(RUN_TIME_WEIGHT, 1.0 / stats->runs);
+	if (stats->runs > 1)
+		stats->variance +=
+			RUN_TIME_WEIGHT *
+			((x - stats->mean_log_ms) * (x - stats->mean_log_ms) - stats->variance);
+	stats->mean_log_ms += weight * (x - stats->mean_log_ms);
 	if (s->estimate_ms > 0) {
 		double e = log((double)s->estimate_ms) - x;
 
-		l->estimate_variance += RUN_TIME_WEIGHT * (e * e - l->estimate_variance);
+		stats->estimate_variance +=
+			RUN_TIME_WEIGHT * (e * e - stats->estimate_variance);
 	}
 }
 
-/* The estimate and the past, by their trust. */
+/* Combines the caller's estimate with the measured run times by inverse variance. */
 static int64_t combine_estimates(const struct wl_job *j, const struct wl_step *s)
 {
-	const struct wl_run_stats *l =
+	const struct wl_run_stats *stats =
 		j->wl->learned != NULL ? g_hash_table_lookup(j->wl->learned, j->spec.queue)
 				       : NULL;
 	double ms = s->estimate_ms > 0 ? s->estimate_ms : ESTIMATE_DEFAULT_MS;
 
-	if (l != NULL && l->runs > 0) {
-		double estimate_weight = s->estimate_ms > 0
-						 ? 1.0 / MAX(l->estimate_variance, VARIANCE_MIN)
-						 : 0.0;
-		double history_weight = 1.0 / MAX(l->variance, VARIANCE_MIN);
+	if (stats != NULL && stats->runs > 0) {
+		double estimate_weight =
+			s->estimate_ms > 0 ? 1.0 / MAX(stats->estimate_variance, VARIANCE_MIN)
+					   : 0.0;
+		double history_weight = 1.0 / MAX(stats->variance, VARIANCE_MIN);
 
-		ms = exp((log(ms) * estimate_weight + l->mean_log_ms * history_weight) /
+		ms = exp((log(ms) * estimate_weight + stats->mean_log_ms * history_weight) /
 			 (estimate_weight + history_weight));
 	}
 	return (int64_t)(ms * (double)NSEC_PER_MSEC);
 }
 
-/* Time that a run of a step is expected to take. */
+/* Expected run time of a task of a step, in nanoseconds. */
 int64_t step_estimate(struct wl_job *j, const struct wl_step *s)
 {
 	if (j->estimates == NULL)
