--- a/packages/workload/wl-headroom.c
+++ b/packages/workload/wl-headroom.c
@@ -1,19 +1,19 @@
 #include "wl-private.h"
 
 /*
- * Some workers are left empty while the work that would take them can wait: urgent jobs come
- * unannounced, and making room for one by stopping others takes longer than it has. Work whose
- * own time runs short takes them all the same.
+ * Headroom: workers that are kept free while other work can wait. Urgent jobs arrive without
+ * notice, and preempting other runs for them takes longer than they can wait. Work that is
+ * close to its own objective may use the headroom.
  */
 
-/* Weight of the newest job in the mean size. */
+/* Weight of the newest job in the moving average of job sizes. */
 #define MEAN_SIZE_WEIGHT 0.1
-/* Headroom is for an urgent job half again as large as the mean. */
+/* Size of the headroom, relative to the average urgent job. */
 #define HEADROOM_FACTOR 1.5
-/* At most this share of the workers is left empty. */
+/* Largest share of the workers that is kept free. */
 #define HEADROOM_SHARE_MAX 0.4
 
-/* Learn the size of urgent jobs. */
+/* Updates the average size of urgent jobs, in accelerators of the first step. */
 void headroom_note_job(struct wl *w, const struct wl_job *j)
 {
 	double size = 0;
@@ -27,7 +27,7 @@
 			: w->mean_urgent_size + MEAN_SIZE_WEIGHT * (size - w->mean_urgent_size);
 }
 
-/* The emptiest worker that is not chosen yet. */
+/* The worker with the most free accelerators, then cores, that is not yet headroom. */
 static struct wl_node *least_used_worker(struct wl *w)
 {
 	struct wl_node *best = NULL;
@@ -46,7 +46,7 @@
 	return best;
 }
 
-/* Choose the workers to be left empty: enough for an urgent job of mean size. */
+/* Selects workers as headroom until they can hold HEADROOM_FACTOR average urgent jobs. */
 void headroom_select(struct wl *w)
 {
 	double needed = w->mean_urgent_size * HEADROOM_FACTOR;
