--- a/packages/workload/wl-health.c
+++ b/packages/workload/wl-health.c
@@ -2,23 +2,23 @@
 
 #include <inttypes.h>
 
-/* A run whose progress has not moved for so long stands still. */
+/* A run without progress for this long is stalled. */
 #define STALL_TIMEOUT (3 * NSEC_PER_SEC)
-/* What a run that stands still counts against its worker, in failed runs. */
+/* Failed runs that a stalled run counts as for its worker. */
 #define STALL_FAILURES 3
-/* A run that will not end this long before its worker leaves is moved. */
+/* Runs must be expected to end this long before their worker leaves, or are moved. */
 #define DRAIN_MARGIN (200 * NSEC_PER_MSEC)
-/* Progress that was seen for less time says nothing of the rest. */
+/* Shortest observation from which a progress rate is computed. */
 #define PROGRESS_WINDOW_MIN (300 * NSEC_PER_MSEC)
 
-/* Whether a run's progress says how long it takes. */
+/* Whether a run's remaining time can be computed from its progress. */
 bool task_has_progress_rate(const struct wl_task *t)
 {
 	return t->phase == TASK_RUNNING && t->percent > t->base_percent &&
 	       t->percent_at - t->base_at >= PROGRESS_WINDOW_MIN;
 }
 
-/* How long a run still takes, by its progress, or by its estimate before there is any. */
+/* Expected remaining time of a run, from its progress rate or else from its estimate. */
 int64_t task_remaining(const struct wl_task *t, int64_t now)
 {
 	int64_t estimate = step_estimate(t->unit->job, t->unit->step);
@@ -29,11 +29,11 @@
 
 	if (!task_has_progress_rate(t))
 		return MAX(estimate * (100 - MIN(t->base_percent, 100u)) / 100 - ran, 0);
-	/* What was listed is older than now by up to a report's period. */
+	/* percent is as of percent_at, up to one report interval ago. */
 	return MAX(observed * left / gained - (now - t->percent_at), 0);
 }
 
-/* Note a run's progress. */
+/* Records a run's reported progress. */
 void task_progress(struct wl_task *t, int64_t now, uint32_t percent)
 {
 	if (t->base_at == 0) {
@@ -48,7 +48,10 @@
 	t->percent_at = now;
 }
 
-/* Move the runs of a leaving worker that will not end in time; what they saved goes along. */
+/*
+ * Stops runs that won't end before their worker leaves; they resume elsewhere from their
+ * checkpoints.
+ */
 static void stop_before_drain(struct wl_node *n, int64_t now)
 {
 	struct wl_task *t;
@@ -60,13 +63,16 @@
 			task_remaining(t, now) <= n->drain_until - now - DRAIN_MARGIN)
 			continue;
 		if (t->unit->step->gang)
-			unit_stop(t->unit, now, "a member's worker is leaving", NULL);
+			unit_stop(t->unit, now, "the worker of a gang member is leaving", NULL);
 		else
 			task_stop(t, now, "its worker is leaving", NULL);
 	}
 }
 
-/* Whether a run stands still: a gang's progress counts from when all its members run. */
+/*
+ * Whether a run has made no progress for STALL_TIMEOUT. The members of a gang begin to progress
+ * only when all of them run.
+ */
 static bool is_stalled(const struct wl_task *t, int64_t now)
 {
 	int64_t since = MAX(t->progress_at, t->running_at);
@@ -77,7 +83,7 @@
 	return since > 0 && now - since > STALL_TIMEOUT;
 }
 
-/* Start runs that stand still elsewhere. */
+/* Stops stalled runs, so that they start again on another worker if one fits. */
 static void stop_stalled_runs(struct wl_node *n, int64_t now)
 {
 	struct wl_task *t;
@@ -86,18 +92,18 @@
 		if (!is_stalled(t, now))
 			continue;
 		if (t->unit->step->gang) {
-			/* Which member holds the gang up is not known. */
-			unit_stop(t->unit, now, "the gang stands still", NULL);
+			/* It is not known which member stalls the gang: blame no worker. */
+			unit_stop(t->unit, now, "the gang is stalled", NULL);
 			continue;
 		}
 		for (int i = 0; i < STALL_FAILURES; i++)
 			node_strike(n, now);
 		t->avoid = n;
-		task_stop(t, now, "it stands still", NULL);
+		task_stop(t, now, "the run is stalled", NULL);
 	}
 }
 
-/* Look after runs on workers that leave or do not work. */
+/* Stops runs on leaving workers and runs that are stalled. */
 void health_check(struct wl *w, int64_t now)
 {
 	for (guint i = 0; i < w->nodes->len; i++) {
