--- a/packages/workload/wl-private.h
+++ b/packages/workload/wl-private.h
@@ -63,7 +63,7 @@
 	int64_t stop_sent;
 	int64_t waiting_since;
 	uint64_t ordinal; /* of the last start order */
-	uint64_t seen;	  /* wl_node.serial of the last report that listed the run */
+	uint64_t seen;	  /* number of the last report that listed the run */
 	uint32_t percent;
 	int64_t percent_at;  /* when the worker last listed the run */
 	int64_t progress_at; /* when percent last changed */
