--- a/packages/workload/workload.h
+++ b/packages/workload/workload.h
@@ -205,7 +205,9 @@
 	bool draining;
 	uint32_t leaves_in_ms;
 	bool left;
-	/* Ordinal up to which the agent had all answers to starts when it requested the lists.
+	/*
+	 * Ordinal up to which the outcome of every start was known when the agent requested the
+	 * lists.
 	 */
 	uint64_t covers;
 	/* The agent's clock at sending; returned in wl_lead_beat.echo_ns. */
