--- a/packages/coordination/sched-private.h
+++ b/packages/coordination/sched-private.h
@@ -219,7 +219,7 @@
 void sched_give_back(struct sched *s, struct sched_job *j);
 void sched_begin(struct sched *s, int64_t now, struct sched_job *j);
 void sched_order_stop(
-	struct sched *s, struct sched_job *j, enum stop_mode mode, enum sched_stop why);
+	struct sched *s, struct sched_job *j, enum stop_mode mode, enum sched_stop_reason why);
 void sched_end(struct sched *s, struct sched_job *j, enum outcome outcome,
 	enum error_kind error, bool not_run, const char *fmt, ...)
 	__attribute__((format(printf, 6, 7)));
--- a/packages/coordination/sched-queue.c
+++ b/packages/coordination/sched-queue.c
@@ -26,8 +26,8 @@
 	(void)arg;
 	if (x->urgent != y->urgent)
 		return x->urgent ? -1 : 1;
-	if (x->key != y->key)
-		return x->key < y->key ? -1 : 1;
+	if (x->order_key != y->order_key)
+		return x->order_key < y->order_key ? -1 : 1;
 	if (x->sequence != y->sequence)
 		return x->sequence < y->sequence ? -1 : 1;
 	return 0;
@@ -69,7 +69,7 @@
 	j->state = SCHED_JOB_QUEUED;
 	j->queued_at = now;
 	j->estimate = learn_estimate(s, j);
-	j->key = queue_key(s, j);
+	j->order_key = queue_key(s, j);
 	g_tree_insert(s->queue, j, j);
 	g_tree_insert(sched_org_at(s, j->org)->queue, j, j);
 	s->dirty = true;
--- a/packages/coordination/sched.c
+++ b/packages/coordination/sched.c
@@ -287,7 +287,7 @@
 
 /* Order all members of a job to stop. */
 void sched_order_stop(
-	struct sched *s, struct sched_job *j, enum stop_mode mode, enum sched_stop why)
+	struct sched *s, struct sched_job *j, enum stop_mode mode, enum sched_stop_reason why)
 {
 	struct sched_action *a;
 
--- a/packages/coordination/sched.h
+++ b/packages/coordination/sched.h
@@ -5,11 +5,12 @@
 #include "state.h"
 
 /*
- * The decision core. It does no input or output and reads no clock: events and the time come
- * in by calls, typed actions come out by sched_next. The coordinator, the property tests and
- * the policy bench run the same code.
+ * The scheduler of a cell. It performs no I/O and reads no clock: the caller passes in events
+ * with the current time and takes the resulting actions from sched_next. The coordinator, the
+ * property tests and the policy benchmark run the same code.
  *
- * Times are monotonic nanoseconds. Jobs and workers are named by small handles.
+ * Times are monotonic, in nanoseconds. Jobs, workers and organisations are referred to by
+ * index.
  */
 
 typedef uint32_t job_ref;
@@ -23,7 +24,7 @@
 	SCHED_POLICY_BACKFILL
 };
 
-/* An amount of each resource of a worker; memory is in MiB. */
+/* Amounts of the resources of a worker; memory_mb is in MiB. */
 struct sched_res {
 	int32_t accelerators;
 	int32_t slots;
@@ -46,8 +47,8 @@
 	SCHED_JOB_ENDED
 };
 
-/* Why a job is being stopped. */
-enum sched_stop {
+/* Reason for which a job is being stopped. */
+enum sched_stop_reason {
 	SCHED_STOP_NONE,
 	SCHED_STOP_PREEMPTED,
 	SCHED_STOP_CANCELLED,
@@ -55,8 +56,8 @@
 	SCHED_STOP_RESERVE_FAILED
 };
 
-/* Why a job waits, or how it came to its place. */
-enum sched_why {
+/* Reason why a job is waiting or was placed. */
+enum sched_reason {
 	SCHED_WHY_NEW,
 	SCHED_WHY_GUARANTEE,
 	SCHED_WHY_CLAIM,
@@ -71,6 +72,10 @@
 	SCHED_WHY_PREEMPTED
 };
 
+/*
+ * The part of a job that runs on one worker; firm is the part of its use that cannot be
+ * reclaimed.
+ */
 struct sched_member {
 	uint32_t worker;
 	uint32_t accelerators;
@@ -80,9 +85,9 @@
 	enum member_end end;
 };
 
-/* The last decision on a job, for explanations. */
+/* The last scheduling decision on a job, reported by sched_explain. */
 struct sched_decision {
-	enum sched_why why;
+	enum sched_reason why;
 	int64_t at;
 	uint32_t considered;
 	uint32_t largest_free;
@@ -92,6 +97,10 @@
 	int64_t expected;
 };
 
+/*
+ * A job. declared, estimate and saved are durations: the run time that the caller declared, the
+ * run time that is expected, and the run time that a checkpoint preserves.
+ */
 struct sched_job {
 	job_ref ref;
 	char *id;
@@ -111,7 +120,7 @@
 	void *owner;
 
 	enum sched_job_state state;
-	enum sched_stop stop;
+	enum sched_stop_reason stop;
 	bool cancel_wanted;
 	uint32_t attempt;
 	uint32_t attempt_floor;
@@ -119,7 +128,7 @@
 	uint32_t preemptions;
 	int64_t not_before;
 	int64_t estimate;
-	int64_t key;
+	int64_t order_key;
 	uint64_t sequence;
 	int64_t queued_at;
 	int64_t placed_at;
@@ -128,8 +137,10 @@
 	int64_t saved;
 	bool charged;
 	GArray *charges;
-	/* An earlier attempt was not proved never to have started. */
+	/* Whether an earlier attempt may have started, so that the job cannot be called not
+	 * run. */
 	bool ran;
+	/* Adopted with some members missing. */
 	bool partial;
 	struct sched_member members[SCHED_MEMBERS_MAX];
 	uint32_t members_len;
@@ -143,6 +154,7 @@
 	SCHED_STOP,
 	SCHED_END
 };
+/* An action for the caller to carry out; stop and end belong to the kinds of these names. */
 struct sched_action {
 	enum sched_action_kind kind;
 	job_ref job;
@@ -150,7 +162,7 @@
 	union {
 		struct {
 			enum stop_mode mode;
-			enum sched_stop why;
+			enum sched_stop_reason why;
 		} stop;
 		struct {
 			enum outcome outcome;
@@ -162,6 +174,7 @@
 	};
 };
 
+/* Totals since the scheduler was created. */
 struct sched_counts {
 	uint64_t placed;
 	uint64_t preempted;
@@ -198,7 +211,7 @@
 size_t sched_running(const struct sched *s);
 void sched_set_settling(struct sched *s, bool settling);
 
-/* sched-view.c: what operators and tests see. */
+/* sched-view.c: read-only views for operators and tests. */
 struct sched_org_view {
 	const char *name;
 	uint32_t guaranteed;
@@ -238,7 +251,7 @@
 const char *sched_org_name(const struct sched *s, uint32_t org);
 json_t *sched_explain(struct sched *s, int64_t now, job_ref job);
 
-/* sched-check.c: NULL, or what is wrong with the state; freed by the caller. */
+/* sched-check.c: returns NULL, or the violated invariant as a text that the caller frees. */
 char *sched_check(const struct sched *s);
 
 #endif
