--- a/packages/coordination/sched-admit.c
+++ b/packages/coordination/sched-admit.c
@@ -10,7 +10,7 @@
 		return s->declared_accelerators;
 	case ADJACENCY_RACK:
 		return s->declared_accelerators *
-		       MIN(s->declared_per_rack, s->declared_workers);
+		       MIN(s->declared_workers_per_rack, s->declared_workers);
 	case ADJACENCY_ANY:
 		return s->declared_accelerators * s->declared_workers;
 	}
@@ -64,10 +64,10 @@
 {
 	const struct sched_org *o = sched_org_at(s, j->org);
 	uint32_t most = topology_max(s, j->adjacency);
-	uint32_t class_max = GPOINTER_TO_UINT(
-		g_hash_table_lookup(s->class_max, GUINT_TO_POINTER(j->class_priority)));
-	uint32_t class_queued = GPOINTER_TO_UINT(
-		g_hash_table_lookup(o->class_queued, GUINT_TO_POINTER(j->class_priority)));
+	uint32_t class_queue_max = GPOINTER_TO_UINT(
+		g_hash_table_lookup(s->class_queue_max, GUINT_TO_POINTER(j->class_priority)));
+	uint32_t class_jobs = GPOINTER_TO_UINT(
+		g_hash_table_lookup(o->class_jobs, GUINT_TO_POINTER(j->class_priority)));
 
 	if (s->declared_workers > 0 && j->accelerators > most)
 		sched_end(s, j, OUTCOME_NOT_RUN, ERR_IMPOSSIBLE, true,
@@ -86,7 +86,8 @@
 	else if (o->quota_jobs > 0 && o->jobs > o->quota_jobs)
 		sched_end(s, j, OUTCOME_NOT_RUN, ERR_OVERLOAD, true,
 			"the organisation has %u jobs, which is its quota", o->quota_jobs);
-	else if (o->jobs > s->queue_max || (class_max > 0 && class_queued > class_max))
+	else if (o->jobs > s->queue_max ||
+		 (class_queue_max > 0 && class_jobs > class_queue_max))
 		sched_end(s, j, OUTCOME_NOT_RUN, ERR_OVERLOAD, true,
 			"%u jobs of the organisation are waiting or running", o->jobs - 1);
 	else
@@ -95,7 +96,7 @@
 }
 
 /* End the waiting jobs that a new document leaves no place for. */
-void admit_again(struct sched *s)
+void admit_recheck_queued(struct sched *s)
 {
 	g_autoptr(GPtrArray) out = g_ptr_array_new();
 
--- a/packages/coordination/sched-fit.c
+++ b/packages/coordination/sched-fit.c
@@ -75,24 +75,25 @@
 	switch (mode) {
 	case FIT_CHARGED_FREE:
 		left = MIN(left_on(s, j, worker, hold), j->accelerators);
-		return left == 0 ? 0 : chargeable_count(w, j, MIN(left, room_count(j, &room)));
+		return left == 0 ? 0
+				 : chargeable_count(w, j, MIN(left, res_fit_count(j, &room)));
 	case FIT_CHARGED:
 		left = MIN(left_on(s, j, worker, hold), j->accelerators);
 		return left == 0 ? 0 : chargeable_count(w, j, left);
 	case FIT_FIRM:
 		firm = worker_firm_room(w);
 		room = res_min(&room, &firm);
-		return room_count(j, &room);
+		return res_fit_count(j, &room);
 	case FIT_BORROWED:
-		return room_count(j, &room);
+		return res_fit_count(j, &room);
 	case FIT_FIRM_CLEARED:
 		firm = worker_firm_room(w);
-		return room_count(j, &firm);
+		return res_fit_count(j, &firm);
 	case FIT_BORROWED_CLEARED:
 		room = w->capacity;
 		res_sub(&room, &w->firm);
 		res_sub(&room, &w->pending);
-		return room_count(j, &room);
+		return res_fit_count(j, &room);
 	}
 	return 0;
 }
@@ -102,7 +103,7 @@
 {
 	for (int a = 0; sum > SHAPES_KEPT && a < 3; a++) {
 		for (uint32_t n = 0; n <= JOB_ACCELERATORS_MAX; n++)
-			s->shape_counts[a][n] /= 2;
+			s->shape_demand[a][n] /= 2;
 	}
 }
 
@@ -116,17 +117,17 @@
 
 	if (j->accelerators == 0)
 		return;
-	s->shape_counts[j->adjacency][j->accelerators] += j->accelerators;
+	s->shape_demand[j->adjacency][j->accelerators] += j->accelerators;
 	for (int a = 0; a < 3; a++) {
 		for (uint32_t n = 0; n <= JOB_ACCELERATORS_MAX; n++)
-			sum += s->shape_counts[a][n];
+			sum += s->shape_demand[a][n];
 	}
 	for (int a = 0; a < 3; a++) {
 		double above = 0;
 
 		for (uint32_t n = JOB_ACCELERATORS_MAX + 1; n-- > 0;) {
-			s->shape_above[a][n] = above / sum;
-			above += s->shape_counts[a][n];
+			s->demand_above[a][n] = above / sum;
+			above += s->shape_demand[a][n];
 		}
 	}
 	fade_shapes(s, sum);
@@ -135,7 +136,7 @@
 /* The part of the demand with an adjacency that needs more than n accelerators. */
 static double part_above(const struct sched *s, enum adjacency a, uint32_t n)
 {
-	return n > JOB_ACCELERATORS_MAX ? 0 : s->shape_above[a][n];
+	return n > JOB_ACCELERATORS_MAX ? 0 : s->demand_above[a][n];
 }
 
 /* Useless accelerators among the free ones of a worker, then of a rack. */
--- a/packages/coordination/sched-private.h
+++ b/packages/coordination/sched-private.h
@@ -3,14 +3,15 @@
 
 #include "sched.h"
 
-#define SCHED_NONE	 UINT32_MAX
+#define SCHED_WORKER_NONE UINT32_MAX
+/* Expected run time of a job that declares none and whose kind has no samples. */
 #define ESTIMATE_DEFAULT (60 * NSEC_PER_SEC)
 
 /*
- * One guaranteed shape of an organisation with the place that is kept for it. The places of
- * all holds are disjoint, and each consists of what is free, used by its owner or held by
- * borrowers that can be stopped; so the set of places is the witness that all guarantees can
- * be met at once.
+ * A guaranteed shape of an organisation and the placement reserved for it. The placements of
+ * all holds are disjoint, and each consists of accelerators that are free, used by the owner
+ * or used by preemptible borrowers. Together the placements thus prove that all guarantees can
+ * be met at the same time. stale marks holds that a new configuration has not yet confirmed.
  */
 struct sched_hold {
 	uint32_t org;
@@ -22,14 +23,14 @@
 	GArray *pieces;
 };
 
-/* Accelerators of a hold on one worker, and how many of them jobs are charged. */
+/* The part of a hold on one worker; used counts the accelerators charged to jobs. */
 struct hold_piece {
 	uint32_t worker;
 	uint32_t accelerators;
 	uint32_t used;
 };
 
-/* Accelerators of a job that count against a hold. */
+/* Accelerators of a job that are charged to a hold on one worker. */
 struct sched_charge {
 	struct sched_hold *hold;
 	uint32_t worker;
@@ -41,9 +42,11 @@
 };
 
 /*
- * firm: what members use or claim that cannot be taken back (charged to a guarantee, or not
- * stoppable). held: guaranteed accelerators that their owners do not use. Invariant per
- * resource: firm + share(held) <= capacity, and used <= capacity.
+ * pending: what jobs that wait for borrowers to stop will use. firm: what members use or wait
+ * for that cannot be reclaimed, because it is charged to a guarantee or the job cannot be
+ * stopped. held: guaranteed accelerators that their owners do not use. Invariants for each
+ * resource: firm + res_share(held) <= capacity, and used <= capacity. restricted: only
+ * idempotent jobs may be placed here. probing: a quarantined worker is running a trial job.
  */
 struct sched_worker {
 	char *name;
@@ -66,12 +69,21 @@
 	bool probing;
 };
 
+/*
+ * Run times of the jobs of one organisation and kind: the sum of the logarithms of actual by
+ * declared run time, the number of samples, and the mean run time in seconds.
+ */
 struct sched_learned {
 	double log_sum;
 	double samples;
 	double mean_s;
 };
 
+/*
+ * left: guaranteed accelerators on each worker that the organisation does not use. queue: its
+ * queued jobs, urgent ones first, then in the order of arrival. class_jobs: its jobs that have
+ * not ended, by class priority.
+ */
 struct sched_org {
 	char *name;
 	bool present;
@@ -82,18 +94,24 @@
 	uint32_t jobs;
 	GArray *left;
 	GTree *queue;
-	GHashTable *class_queued;
+	GHashTable *class_jobs;
 };
 
+/*
+ * The scheduler. class_queue_max limits the jobs per organisation, by class priority. active
+ * lists the jobs that have members. shape_demand sums up the accelerators that jobs asked for,
+ * by adjacency and job size; demand_above[a][n] is the part of all demand that has adjacency a
+ * and a size of more than n.
+ */
 struct sched {
 	enum sched_policy policy;
 	GRand *rand;
 	int64_t grace;
-	double weight;
+	double completion_weight;
 	uint32_t queue_max;
-	GHashTable *class_max;
+	GHashTable *class_queue_max;
 	uint32_t declared_workers;
-	uint32_t declared_per_rack;
+	uint32_t declared_workers_per_rack;
 	uint32_t declared_accelerators;
 	bool settling;
 	bool dirty;
@@ -109,8 +127,8 @@
 	GQueue actions;
 	uint64_t sequence;
 	struct sched_counts counts;
-	uint32_t shape_counts[3][JOB_ACCELERATORS_MAX + 1];
-	double shape_above[3][JOB_ACCELERATORS_MAX + 1];
+	uint32_t shape_demand[3][JOB_ACCELERATORS_MAX + 1];
+	double demand_above[3][JOB_ACCELERATORS_MAX + 1];
 };
 
 static inline struct sched_worker *sched_worker_at(const struct sched *s, uint32_t i)
@@ -123,7 +141,7 @@
 	return s->orgs->pdata[i];
 }
 
-/* sched-res.c */
+/* sched-res.c: resource arithmetic. */
 void res_add(struct sched_res *a, const struct sched_res *b);
 void res_sub(struct sched_res *a, const struct sched_res *b);
 bool res_equal(const struct sched_res *a, const struct sched_res *b);
@@ -133,9 +151,9 @@
 bool share_covers(const struct sched_worker *w, const struct sched_res *need, uint32_t n);
 struct sched_res worker_free(const struct sched_worker *w);
 struct sched_res worker_firm_room(const struct sched_worker *w);
-uint32_t room_count(const struct sched_job *j, const struct sched_res *room);
+uint32_t res_fit_count(const struct sched_job *j, const struct sched_res *room);
 
-/* sched-hold.c: the books of guaranteed shapes. */
+/* sched-hold.c: accounting of guaranteed shapes and of the jobs charged to them. */
 uint32_t org_left(const struct sched *s, uint32_t org, uint32_t worker);
 struct sched_hold *hold_new(uint32_t org, const struct doc_guarantee *g);
 void hold_free(void *p);
@@ -153,7 +171,7 @@
 void firm_clear(struct sched *s, struct sched_job *j);
 void hold_drop_charges(struct sched *s, struct sched_hold *h);
 
-/* sched-plan.c: places for guaranteed shapes. */
+/* sched-plan.c: placement of guaranteed shapes. */
 void plan_set_holds(struct sched *s, int64_t now, const struct doc *d);
 void plan_drop_worker(struct sched *s, int64_t now, uint32_t worker);
 void plan_place(struct sched *s, int64_t now);
@@ -163,7 +181,16 @@
 void plan_cover_running(struct sched *s);
 void plan_lift_overfull(struct sched *s);
 
-/* sched-fit.c: where a job fits. */
+/*
+ * sched-fit.c: placement of jobs. The modes tell which resources of a worker count as
+ * available:
+ *
+ * FIT_CHARGED_FREE: unused guarantees of the job's organisation that are physically free.
+ * FIT_CHARGED: unused guarantees of the job's organisation, even if borrowers use them.
+ * FIT_FIRM: free resources that are not needed for any guarantee.
+ * FIT_BORROWED: all free resources, including unused guarantees of other organisations.
+ * FIT_FIRM_CLEARED and FIT_BORROWED_CLEARED: the same, with borrowers counted as stopped.
+ */
 enum fit_mode {
 	FIT_CHARGED_FREE,
 	FIT_CHARGED,
@@ -172,6 +199,7 @@
 	FIT_FIRM_CLEARED,
 	FIT_BORROWED_CLEARED
 };
+/* A placement, the number of workers considered and the most that one of them could take. */
 struct fit {
 	struct sched_member members[SCHED_MEMBERS_MAX];
 	uint32_t len;
@@ -186,28 +214,28 @@
 double fit_fragmentation(const struct sched *s);
 void fit_count_shape(struct sched *s, const struct sched_job *j);
 
-/* sched-claim.c */
+/* sched-claim.c: placement of jobs by preempting borrowers. */
 bool claim_start(struct sched *s, int64_t now, struct sched_job *j);
 bool claim_turn(struct sched *s, int64_t now, struct sched_job *j);
 void claim_finish(struct sched *s, int64_t now);
 
-/* sched-queue.c */
+/* sched-queue.c: order of the queue and the scheduling pass. */
 int queue_compare(const void *a, const void *b, void *arg);
-int queue_compare_claims(const void *a, const void *b, void *arg);
+int queue_compare_arrival(const void *a, const void *b, void *arg);
 void queue_add(struct sched *s, int64_t now, struct sched_job *j);
 void queue_remove(struct sched *s, struct sched_job *j);
 void queue_pass(struct sched *s, int64_t now);
 
-/* sched-admit.c */
+/* sched-admit.c: admission control. */
 bool admit_job(struct sched *s, struct sched_job *j);
-void admit_again(struct sched *s);
+void admit_recheck_queued(struct sched *s);
 
-/* sched-learn.c */
+/* sched-learn.c: run time estimates. */
 int64_t learn_estimate(struct sched *s, const struct sched_job *j);
 void learn_sample(struct sched *s, const struct sched_job *j, int64_t actual);
 int64_t learn_expected_end(const struct sched_job *j, int64_t now);
 
-/* sched-health.c */
+/* sched-health.c: quarantine of failing workers. */
 bool health_allows(const struct sched_worker *w, const struct sched_job *j, int64_t now);
 void health_failed(struct sched *s, int64_t now, struct sched_job *j, uint32_t worker);
 void health_done(struct sched *s, uint32_t worker);
--- a/packages/coordination/sched-queue.c
+++ b/packages/coordination/sched-queue.c
@@ -37,7 +37,7 @@
  * Compare two jobs of one organisation for its guarantee: by arrival, so that a job for which
  * there was room when it came is not overtaken.
  */
-int queue_compare_claims(const void *a, const void *b, void *arg)
+int queue_compare_arrival(const void *a, const void *b, void *arg)
 {
 	const struct sched_job *x = a;
 	const struct sched_job *y = b;
@@ -55,7 +55,7 @@
 /* The key of a job in the order. */
 static int64_t queue_key(const struct sched *s, const struct sched_job *j)
 {
-	double stretch = STRETCH_MAX * s->weight;
+	double stretch = STRETCH_MAX * s->completion_weight;
 
 	if (s->policy != SCHED_POLICY_FULL)
 		return j->submitted;
--- a/packages/coordination/sched-res.c
+++ b/packages/coordination/sched-res.c
@@ -103,7 +103,7 @@
 }
 
 /* How many of a job's accelerators fit into room; for a job without any, 1 if it fits. */
-uint32_t room_count(const struct sched_job *j, const struct sched_res *room)
+uint32_t res_fit_count(const struct sched_job *j, const struct sched_res *room)
 {
 	uint32_t n;
 
--- a/packages/coordination/sched.c
+++ b/packages/coordination/sched.c
@@ -28,7 +28,7 @@
 	free(o->name);
 	g_array_unref(o->left);
 	g_tree_destroy(o->queue);
-	g_hash_table_destroy(o->class_queued);
+	g_hash_table_destroy(o->class_jobs);
 	free(o);
 }
 
@@ -52,9 +52,9 @@
 	s->policy = policy;
 	s->rand = g_rand_new_with_seed((guint32)seed);
 	s->grace = 5 * NSEC_PER_SEC;
-	s->weight = 0.5;
+	s->completion_weight = 0.5;
 	s->queue_max = UINT32_MAX;
-	s->class_max = g_hash_table_new(g_direct_hash, g_direct_equal);
+	s->class_queue_max = g_hash_table_new(g_direct_hash, g_direct_equal);
 	s->workers = g_ptr_array_new_with_free_func(worker_free_record);
 	s->racks = g_ptr_array_new_with_free_func(free);
 	s->orgs = g_ptr_array_new_with_free_func(org_free_record);
@@ -88,7 +88,7 @@
 	g_array_unref(s->free_refs);
 	g_tree_destroy(s->queue);
 	g_hash_table_destroy(s->learned);
-	g_hash_table_destroy(s->class_max);
+	g_hash_table_destroy(s->class_queue_max);
 	g_rand_free(s->rand);
 	free(s);
 }
@@ -111,8 +111,8 @@
 	o = xcalloc(1, sizeof(*o));
 	o->name = xstrdup(name);
 	o->left = g_array_new(FALSE, TRUE, sizeof(uint32_t));
-	o->queue = g_tree_new_full(queue_compare_claims, NULL, NULL, NULL);
-	o->class_queued = g_hash_table_new(g_direct_hash, g_direct_equal);
+	o->queue = g_tree_new_full(queue_compare_arrival, NULL, NULL, NULL);
+	o->class_jobs = g_hash_table_new(g_direct_hash, g_direct_equal);
 	g_ptr_array_add(s->orgs, o);
 	return s->orgs->len - 1;
 }
@@ -128,14 +128,14 @@
 	return s->racks->len - 1;
 }
 
-/* Find a worker by name; SCHED_NONE where it was never seen. */
+/* Find a worker by name; SCHED_WORKER_NONE where it was never seen. */
 uint32_t sched_find_worker(const struct sched *s, const char *name)
 {
 	for (uint32_t i = 0; i < s->workers->len; i++) {
 		if (strcmp(sched_worker_at(s, i)->name, name) == 0)
 			return i;
 	}
-	return SCHED_NONE;
+	return SCHED_WORKER_NONE;
 }
 
 /* Take over the declared topology of our cell. */
@@ -149,7 +149,7 @@
 		if (strcmp(c->name, cell) != 0)
 			continue;
 		s->declared_workers = c->workers;
-		s->declared_per_rack = c->workers_per_rack;
+		s->declared_workers_per_rack = c->workers_per_rack;
 		s->declared_accelerators = c->accelerators;
 	}
 }
@@ -160,7 +160,7 @@
 	uint32_t at = sched_find_worker(s, spec->name);
 	struct sched_worker *w;
 
-	if (at == SCHED_NONE) {
+	if (at == SCHED_WORKER_NONE) {
 		w = xcalloc(1, sizeof(*w));
 		w->name = xstrdup(spec->name);
 		w->reserved_for = JOB_REF_NONE;
@@ -315,9 +315,9 @@
 		queue_remove(s, j);
 	j->state = SCHED_JOB_ENDED;
 	o->jobs--;
-	g_hash_table_insert(o->class_queued, priority,
+	g_hash_table_insert(o->class_jobs, priority,
 		GUINT_TO_POINTER(
-			GPOINTER_TO_UINT(g_hash_table_lookup(o->class_queued, priority)) - 1));
+			GPOINTER_TO_UINT(g_hash_table_lookup(o->class_jobs, priority)) - 1));
 	a = push_action(s, SCHED_END, j);
 	a->end.outcome = outcome;
 	a->end.error = error;
@@ -366,9 +366,9 @@
 	j->class_priority = spec->priority;
 	j->urgent = spec->urgent;
 	priority = GUINT_TO_POINTER(j->class_priority);
-	g_hash_table_insert(o->class_queued, priority,
+	g_hash_table_insert(o->class_jobs, priority,
 		GUINT_TO_POINTER(
-			GPOINTER_TO_UINT(g_hash_table_lookup(o->class_queued, priority)) + 1));
+			GPOINTER_TO_UINT(g_hash_table_lookup(o->class_jobs, priority)) + 1));
 	return j;
 }
 
@@ -379,14 +379,14 @@
 	const struct doc_class *c;
 
 	s->grace = d->grace;
-	s->weight = d->weight_completion;
+	s->completion_weight = d->weight_completion;
 	s->queue_max = d->queue_max;
 	set_topology(s, d, cell);
-	g_hash_table_remove_all(s->class_max);
+	g_hash_table_remove_all(s->class_queue_max);
 	STAILQ_FOREACH(c, &d->classes, entry)
 	{
 		if (c->queue_max > 0)
-			g_hash_table_insert(s->class_max, GUINT_TO_POINTER(c->priority),
+			g_hash_table_insert(s->class_queue_max, GUINT_TO_POINTER(c->priority),
 				GUINT_TO_POINTER(c->queue_max));
 	}
 	for (uint32_t i = 0; i < s->orgs->len; i++)
@@ -401,7 +401,7 @@
 	}
 	if (s->policy == SCHED_POLICY_FULL)
 		plan_set_holds(s, now, d);
-	admit_again(s);
+	admit_recheck_queued(s);
 	s->dirty = true;
 }
 
