--- a/packages/coordination/sched.c
+++ b/packages/coordination/sched.c
@@ -4,15 +4,15 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define FAILURES_MAX	3
+#define FAILURES_MAX	3 /* failed attempts of an idempotent job */
 #define BACKOFF_BASE	NSEC_PER_SEC
 #define BACKOFF_MAX	(60 * NSEC_PER_SEC)
 #define RESERVE_BACKOFF (200 * NSEC_PER_MSEC)
 #define SHAPES_KEPT	1000
 #define RETRY_LATER_S	5
 
-/* Free a worker's record. */
-static void worker_free_record(void *p)
+/* Frees a worker. */
+static void free_worker(void *p)
 {
 	struct sched_worker *w = p;
 
@@ -20,8 +20,8 @@
 	free(w);
 }
 
-/* Free an organisation's record. */
-static void org_free_record(void *p)
+/* Frees an organisation. */
+static void free_org(void *p)
 {
 	struct sched_org *o = p;
 
@@ -32,7 +32,7 @@
 	free(o);
 }
 
-/* Free a job's record. */
+/* Frees a job. */
 static void job_free(struct sched_job *j)
 {
 	if (j == NULL)
@@ -44,7 +44,7 @@
 	free(j);
 }
 
-/* An empty core. The seed is for jitter. */
+/* Returns a scheduler without workers or jobs. The seed is for the jitter of retries. */
 struct sched *sched_new(enum sched_policy policy, uint64_t seed)
 {
 	struct sched *s = xcalloc(1, sizeof(*s));
@@ -55,9 +55,9 @@
 	s->completion_weight = 0.5;
 	s->queue_max = UINT32_MAX;
 	s->class_queue_max = g_hash_table_new(g_direct_hash, g_direct_equal);
-	s->workers = g_ptr_array_new_with_free_func(worker_free_record);
+	s->workers = g_ptr_array_new_with_free_func(free_worker);
 	s->racks = g_ptr_array_new_with_free_func(free);
-	s->orgs = g_ptr_array_new_with_free_func(org_free_record);
+	s->orgs = g_ptr_array_new_with_free_func(free_org);
 	s->holds = g_ptr_array_new_with_free_func(hold_free);
 	s->jobs = g_ptr_array_new();
 	s->free_refs = g_array_new(FALSE, FALSE, sizeof(job_ref));
@@ -68,7 +68,7 @@
 	return s;
 }
 
-/* Free the core with all its jobs. */
+/* Frees a scheduler with its jobs and its pending actions. */
 void sched_free(struct sched *s)
 {
 	struct sched_action a;
@@ -93,13 +93,13 @@
 	free(s);
 }
 
-/* Find a job by handle. */
+/* Returns the job with the given index, or NULL. */
 struct sched_job *sched_job(struct sched *s, job_ref job)
 {
 	return job < s->jobs->len ? s->jobs->pdata[job] : NULL;
 }
 
-/* Find an organisation by name, or make its record. */
+/* Returns the index of an organisation, adding it if its name is new. */
 static uint32_t find_org(struct sched *s, const char *name)
 {
 	struct sched_org *o;
@@ -117,7 +117,7 @@
 	return s->orgs->len - 1;
 }
 
-/* Find a rack by name, or make its record. */
+/* Returns the index of a rack, adding it if its name is new. */
 static uint32_t find_rack(struct sched *s, const char *name)
 {
 	for (uint32_t i = 0; i < s->racks->len; i++) {
@@ -128,7 +128,7 @@
 	return s->racks->len - 1;
 }
 
-/* Find a worker by name; SCHED_WORKER_NONE where it was never seen. */
+/* Returns the index of a worker, or SCHED_WORKER_NONE if the name is not known. */
 uint32_t sched_find_worker(const struct sched *s, const char *name)
 {
 	for (uint32_t i = 0; i < s->workers->len; i++) {
@@ -138,7 +138,7 @@
 	return SCHED_WORKER_NONE;
 }
 
-/* Take over the declared topology of our cell. */
+/* Reads the declared topology of our cell from the configuration. */
 static void set_topology(struct sched *s, const struct doc *d, const char *cell)
 {
 	const struct doc_cell *c;
@@ -154,7 +154,10 @@
 	}
 }
 
-/* A worker is there, or came back; its handle stays the same under one name. */
+/*
+ * Adds a worker or marks a known one as up again; the index of a name never changes. A worker
+ * whose capacity has changed is taken down first, so that its holds are placed anew.
+ */
 uint32_t sched_worker_up(struct sched *s, int64_t now, const struct sched_worker_spec *spec)
 {
 	uint32_t at = sched_find_worker(s, spec->name);
@@ -181,8 +184,9 @@
 }
 
 /*
- * A worker is gone: nothing new goes there and its holds move. The ends of its members are
- * reported one by one, as only the coordinator knows which may have started.
+ * Marks a worker as down: nothing more is placed on it, and its holds move to other workers.
+ * The caller reports the end of each job member there with sched_member_ended, as only the
+ * coordinator knows which members may have started.
  */
 void sched_worker_down(struct sched *s, int64_t now, uint32_t worker)
 {
@@ -196,14 +200,14 @@
 		plan_drop_worker(s, now, worker);
 }
 
-/* A worker leaves, or no longer wants to. */
+/* Starts or ends the draining of a worker; nothing is placed on a draining worker. */
 void sched_worker_drain(struct sched *s, uint32_t worker, bool draining)
 {
 	sched_worker_at(s, worker)->draining = draining;
 	s->dirty = true;
 }
 
-/* While restricted, a worker is given only jobs that may run twice. */
+/* While a worker is restricted, only idempotent jobs are placed on it. */
 void sched_worker_restrict(struct sched *s, uint32_t worker, bool restricted)
 {
 	sched_worker_at(s, worker)->restricted = restricted;
@@ -211,8 +215,9 @@
 }
 
 /*
- * Enter a job's members. charged: they count against guarantees, the given hold first.
- * pending: the job waits for borrowers to leave.
+ * Allocates the resources of a placement to a job. If charged, they are charged to the holds of
+ * the job's organisation, the given hold first. If pending, the job waits for borrowers to stop
+ * before it uses them.
  */
 void sched_take(struct sched *s, struct sched_job *j, const struct fit *f, bool charged,
 	struct sched_hold *hold, bool pending)
@@ -236,7 +241,7 @@
 	g_ptr_array_add(s->active, j);
 }
 
-/* Take a job's members out again. */
+/* Releases the resources of a job's members and removes the members. */
 void sched_give_back(struct sched *s, struct sched_job *j)
 {
 	bool pending = j->state == SCHED_JOB_CLAIMING;
@@ -258,7 +263,7 @@
 	s->dirty = true;
 }
 
-/* Append an action. */
+/* Appends an action on a job to the queue of actions. */
 static struct sched_action *push_action(
 	struct sched *s, enum sched_action_kind kind, const struct sched_job *j)
 {
@@ -271,7 +276,7 @@
 	return a;
 }
 
-/* Place a job whose members have been entered. */
+/* Begins a new attempt of a job to which resources are allocated. */
 void sched_begin(struct sched *s, int64_t now, struct sched_job *j)
 {
 	if (j->state == SCHED_JOB_QUEUED)
@@ -285,7 +290,7 @@
 	push_action(s, SCHED_PLACE, j);
 }
 
-/* Order all members of a job to stop. */
+/* Orders all members of a job to stop. */
 void sched_order_stop(
 	struct sched *s, struct sched_job *j, enum stop_mode mode, enum sched_stop_reason why)
 {
@@ -302,7 +307,10 @@
 	a->stop.why = why;
 }
 
-/* End a job with its outcome; the owner forgets it once it has passed the answer on. */
+/*
+ * Ends a job with an outcome and a detail text. The caller removes the job with sched_forget
+ * after it has delivered the answer.
+ */
 void sched_end(struct sched *s, struct sched_job *j, enum outcome outcome,
 	enum error_kind error, bool not_run, const char *fmt, ...)
 {
@@ -331,7 +339,7 @@
 		s->counts.refused++;
 }
 
-/* Make a job's record with its handle. */
+/* Adds a job with an unused index. */
 static struct sched_job *add_job(
 	struct sched *s, int64_t now, const struct job_spec *spec, void *owner)
 {
@@ -372,7 +380,7 @@
 	return j;
 }
 
-/* Adopt a document. */
+/* Applies a new configuration. */
 void sched_set_doc(struct sched *s, int64_t now, const struct doc *d, const char *cell)
 {
 	const struct doc_org *o;
@@ -405,7 +413,7 @@
 	s->dirty = true;
 }
 
-/* A new job. It may be ended at once by an action. */
+/* Adds a job. If it cannot be admitted, an action ends it at once. */
 job_ref sched_submit(struct sched *s, int64_t now, const struct job_spec *spec, void *owner)
 {
 	struct sched_job *j = add_job(s, now, spec, owner);
@@ -419,7 +427,10 @@
 	return j->ref;
 }
 
-/* A job that runs already, as its agents say; for a coordinator that takes over. */
+/*
+ * Adds a job that is already running, as reported by the agents to a new coordinator. The job
+ * is stopped if some of its members are missing.
+ */
 job_ref sched_adopt(struct sched *s, int64_t now, const struct job_spec *spec, void *owner,
 	uint32_t attempt, const struct sched_member *members, uint32_t len, int64_t running)
 {
@@ -452,7 +463,7 @@
 	return j->ref;
 }
 
-/* The caller no longer wants a job. */
+/* Cancels a job at the request of its caller. */
 void sched_cancel(struct sched *s, int64_t now, job_ref job)
 {
 	struct sched_job *j = sched_job(s, job);
@@ -483,7 +494,7 @@
 	}
 }
 
-/* All members of an attempt have started. */
+/* Records that all members of an attempt have started. */
 void sched_started(struct sched *s, int64_t now, job_ref job, uint32_t attempt)
 {
 	struct sched_job *j = sched_job(s, job);
@@ -495,7 +506,7 @@
 		j->state = SCHED_JOB_RUNNING;
 }
 
-/* Back into the queue after a while. */
+/* Puts a job back into the queue; it may not be placed before the jittered delay is over. */
 static void requeue(struct sched *s, int64_t now, struct sched_job *j, int64_t delay)
 {
 	double jitter = g_rand_double_range(s->rand, 0.5, 1.5);
@@ -508,7 +519,7 @@
 	queue_add(s, now, j);
 }
 
-/* The attempt was taken back before any member could start. */
+/* Records that an attempt was withdrawn before any member could start. */
 void sched_reserve_failed(struct sched *s, int64_t now, job_ref job, uint32_t attempt)
 {
 	struct sched_job *j = sched_job(s, job);
@@ -524,18 +535,18 @@
 		requeue(s, now, j, RESERVE_BACKOFF);
 }
 
-/* How the members of an attempt ended, together. */
-struct ends {
+/* Number of members of an attempt by how they ended; open ones have not ended. */
+struct member_ends {
 	uint32_t done;
 	uint32_t failed;
-	uint32_t never;
+	uint32_t never_started;
 	uint32_t lost;
 	uint32_t open;
 };
 
-static struct ends count_ends(const struct sched_job *j)
+static struct member_ends count_member_ends(const struct sched_job *j)
 {
-	struct ends e = {0};
+	struct member_ends e = {0};
 
 	for (uint32_t i = 0; i < j->members_len; i++) {
 		const struct sched_member *m = &j->members[i];
@@ -547,15 +558,15 @@
 		else if (m->end == MEMBER_END_FAILED)
 			e.failed++;
 		else if (m->end == MEMBER_END_NEVER_STARTED)
-			e.never++;
+			e.never_started++;
 		else if (m->end != MEMBER_END_STOPPED)
 			e.lost++;
 	}
 	return e;
 }
 
-/* Note which workers failed or served. */
-static void judge_workers(struct sched *s, int64_t now, struct sched_job *j)
+/* Records for each worker whether its member succeeded or failed. */
+static void record_worker_results(struct sched *s, int64_t now, struct sched_job *j)
 {
 	for (uint32_t i = 0; i < j->members_len; i++) {
 		if (j->members[i].end == MEMBER_END_DONE)
@@ -565,24 +576,24 @@
 	}
 }
 
-/* Delay before the next attempt of a job that failed. */
-static int64_t backoff(const struct sched_job *j)
+/* Returns the delay before the next attempt of a job that failed. */
+static int64_t retry_delay(const struct sched_job *j)
 {
 	return MIN(BACKOFF_BASE << MIN(j->failures, 10u), BACKOFF_MAX);
 }
 
-/* Decide on an attempt that failed or lost a member; resources are given back already. */
-static void settle_failed(
-	struct sched *s, int64_t now, struct sched_job *j, const struct ends *e, uint32_t size)
+/* Retries or ends a job whose attempt did not succeed, after its resources were released. */
+static void finish_failed_attempt(struct sched *s, int64_t now, struct sched_job *j,
+	const struct member_ends *e, uint32_t size)
 {
-	if (e->never == size && !j->partial) {
+	if (e->never_started == size && !j->partial) {
 		requeue(s, now, j, RESERVE_BACKOFF);
 		return;
 	}
 	if (!j->idempotent && (e->lost > 0 || j->partial)) {
 		sched_end(s, j, OUTCOME_UNKNOWN, ERR_UNKNOWN_OUTCOME, false,
-			"a worker was lost after it may have started the job, which must not "
-			"run twice");
+			"a worker was lost after it may have started the job; the job is not "
+			"idempotent and is not retried");
 		return;
 	}
 	if (j->stop == SCHED_STOP_PREEMPTED && e->failed == 0) {
@@ -597,20 +608,20 @@
 			j->attempt, j->idempotent ? FAILURES_MAX : 1);
 		return;
 	}
-	requeue(s, now, j, backoff(j));
+	requeue(s, now, j, retry_delay(j));
 }
 
-/* All members of an attempt have ended: decide what becomes of the job. */
-static void settle(struct sched *s, int64_t now, struct sched_job *j)
+/* Finishes an attempt whose members have all ended: the job ends or is queued again. */
+static void finish_attempt(struct sched *s, int64_t now, struct sched_job *j)
 {
-	struct ends e = count_ends(j);
+	struct member_ends e = count_member_ends(j);
 	uint32_t size = j->members_len;
 	bool done = e.done == size && !j->partial;
 
-	judge_workers(s, now, j);
+	record_worker_results(s, now, j);
 	if (done && j->started_at > 0)
 		learn_sample(s, j, now - j->started_at + j->saved);
-	if (e.never < size || j->partial)
+	if (e.never_started < size || j->partial)
 		j->ran = true;
 	sched_give_back(s, j);
 	if (done)
@@ -619,12 +630,13 @@
 		sched_end(s, j, OUTCOME_CANCELLED, ERR_CANCELLED, !j->ran,
 			j->ran ? "cancelled while it ran" : "cancelled before it started");
 	else
-		settle_failed(s, now, j, &e, size);
+		finish_failed_attempt(s, now, j, &e, size);
 }
 
 /*
- * One member of an attempt has ended. Repeated reports and those of other attempts are passed
- * over. A member that ended other than well stops the others: the gang runs whole or not.
+ * Records the end of a member. Repeated reports and reports on other attempts are ignored. If
+ * the member did not succeed, the others are stopped, as a gang runs with all of its members or
+ * not at all.
  */
 void sched_member_ended(struct sched *s, int64_t now, job_ref job, uint32_t attempt,
 	uint32_t member, enum member_end end, int64_t saved)
@@ -643,15 +655,15 @@
 	m->end = end;
 	if (saved > j->saved)
 		j->saved = saved;
-	if (count_ends(j).open == 0) {
-		settle(s, now, j);
+	if (count_member_ends(j).open == 0) {
+		finish_attempt(s, now, j);
 		return;
 	}
 	if (end != MEMBER_END_DONE && j->state != SCHED_JOB_STOPPING)
 		sched_order_stop(s, j, STOP_NOW, SCHED_STOP_MEMBER_LOST);
 }
 
-/* Drop the record of a job that has ended. */
+/* Removes a job that has ended; its index may be reused. */
 void sched_forget(struct sched *s, job_ref job)
 {
 	struct sched_job *j = sched_job(s, job);
@@ -663,26 +675,26 @@
 	job_free(j);
 }
 
-/* End the waiting jobs whose deadline has passed. */
+/* Ends the queued jobs whose deadline has passed. */
 static void expire_deadlines(struct sched *s, int64_t now)
 {
-	g_autoptr(GPtrArray) late = g_ptr_array_new();
+	g_autoptr(GPtrArray) expired = g_ptr_array_new();
 
 	for (GTreeNode *n = g_tree_node_first(s->queue); n != NULL; n = g_tree_node_next(n)) {
 		struct sched_job *j = g_tree_node_key(n);
 
 		if (j->deadline > 0 && j->deadline <= now)
-			g_ptr_array_add(late, j);
+			g_ptr_array_add(expired, j);
 	}
-	for (guint i = 0; i < late->len; i++) {
-		struct sched_job *j = late->pdata[i];
+	for (guint i = 0; i < expired->len; i++) {
+		struct sched_job *j = expired->pdata[i];
 
 		sched_end(s, j, OUTCOME_NOT_RUN, ERR_DEADLINE, !j->ran,
-			"the deadline passed while the job waited");
+			"the deadline passed while the job was queued");
 	}
 }
 
-/* Decide; call after events and about once in 100 ms. */
+/* Runs a scheduling pass; to be called after events and about every 100 ms. */
 void sched_run(struct sched *s, int64_t now)
 {
 	expire_deadlines(s, now);
@@ -692,13 +704,13 @@
 	queue_pass(s, now);
 }
 
-/* While set, nothing is placed: a new coordinator does not know yet what runs. */
+/* While set, nothing is placed, as a new coordinator does not yet know which jobs run. */
 void sched_set_settling(struct sched *s, bool settling)
 {
 	s->settling = settling;
 }
 
-/* Take the next action; the caller clears it. */
+/* Takes the next action; the caller frees its contents with sched_action_clear. */
 bool sched_next(struct sched *s, struct sched_action *out)
 {
 	struct sched_action *a = g_queue_pop_head(&s->actions);
@@ -710,26 +722,26 @@
 	return true;
 }
 
-/* Free what an action holds. */
+/* Frees the contents of an action. */
 void sched_action_clear(struct sched_action *a)
 {
 	if (a->kind == SCHED_END)
 		free(a->end.detail);
 }
 
-/* Totals since the start. */
+/* Returns the totals since the scheduler was created. */
 const struct sched_counts *sched_counts(const struct sched *s)
 {
 	return &s->counts;
 }
 
-/* Number of waiting jobs. */
+/* Returns the number of queued jobs. */
 size_t sched_queued(const struct sched *s)
 {
 	return (size_t)g_tree_nnodes(s->queue);
 }
 
-/* Number of placed jobs. */
+/* Returns the number of jobs that have resources allocated. */
 size_t sched_running(const struct sched *s)
 {
 	return s->active->len;
