--- a/packages/coordination/sched-fit.c
+++ b/packages/coordination/sched-fit.c
@@ -6,21 +6,26 @@
 /*
  * Fragmentation is measured as in Weng et al., "Beware of Fragmentation: Scheduling
  * GPU-Sharing Workloads with Fragmentation Gradient Descent" (USENIX ATC 2023): the expected
- * share of free accelerators that a job drawn from the workload cannot use; jobs are weighed by
- * the accelerators that they ask for. We extend it from nodes to racks: a shape within a worker
- * finds a worker's free accelerators useless where they are too few, a shape within a rack
- * those of a rack. A placement is chosen by the least growth of this measure.
+ * share of free accelerators that a job drawn from the workload cannot use. Jobs are weighted
+ * by the number of accelerators that they request. We extend the measure from nodes to racks: a
+ * shape with worker adjacency cannot use the free accelerators of a worker that has too few of
+ * them, and a shape with rack adjacency cannot use those of a rack that has too few. Among the
+ * possible placements, the one that increases this measure least is chosen.
  */
 
-#define SHAPES_KEPT 20000
+#define SHAPE_DEMAND_MAX 20000 /* accelerators; above this sum all counts are halved */
 
-/* Whether a running job may be stopped for the benefit of another. */
+/* Weights, per accelerator, of the secondary terms in the score of a worker. */
+#define FREE_WEIGHT 0.01  /* free accelerators: prefer workers that are nearly full */
+#define HELD_WEIGHT 0.002 /* unused guarantees: prefer workers with few */
+
+/* Returns whether a running job may be preempted. */
 bool job_stoppable(const struct sched_job *j)
 {
 	return j->idempotent || j->checkpoint;
 }
 
-/* The smaller of two amounts, per resource. */
+/* Returns the minimum of two amounts for each resource. */
 static struct sched_res res_min(const struct sched_res *a, const struct sched_res *b)
 {
 	return (struct sched_res){
@@ -31,7 +36,10 @@
 	};
 }
 
-/* The most accelerators, up to max, whose needs stay within the proportional share. */
+/*
+ * Returns the largest number of accelerators, up to max, with which a member stays within its
+ * proportional share of the worker's other resources.
+ */
 static uint32_t chargeable_count(
 	const struct sched_worker *w, const struct sched_job *j, uint32_t max)
 {
@@ -44,7 +52,7 @@
 	return 0;
 }
 
-/* Whether an earlier job has a reservation here that this one would delay. */
+/* Returns whether the job would delay another one that has a reservation on the worker. */
 static bool delays_reservation(
 	const struct sched_worker *w, const struct sched_job *j, int64_t now)
 {
@@ -52,17 +60,17 @@
 	       now + j->estimate > w->reserved_until;
 }
 
-/* What is left on a worker of one hold, or of all of the organisation's. */
-static uint32_t left_on(const struct sched *s, const struct sched_job *j, uint32_t worker,
+/* Returns the unused accelerators on a worker of one hold or, if NULL, of the organisation. */
+static uint32_t unused_on(const struct sched *s, const struct sched_job *j, uint32_t worker,
 	const struct sched_hold *hold)
 {
 	return hold != NULL ? hold_left_on(hold, worker) : org_left(s, j->org, worker);
 }
 
 /*
- * How many of a job's accelerators a worker can take, in one of the modes; the charged modes
- * look at one hold, or at all of the organisation's where hold is NULL. The cleared modes
- * count what borrowers use as free.
+ * Returns how many of a job's accelerators a worker can take. The charged modes are limited to
+ * the given hold, or to all holds of the job's organisation if it is NULL. The cleared modes
+ * count the resources that borrowers use as free.
  */
 uint32_t fit_room(const struct sched *s, const struct sched_job *j, uint32_t worker,
 	enum fit_mode mode, const struct sched_hold *hold)
@@ -74,11 +82,11 @@
 
 	switch (mode) {
 	case FIT_CHARGED_FREE:
-		left = MIN(left_on(s, j, worker, hold), j->accelerators);
+		left = MIN(unused_on(s, j, worker, hold), j->accelerators);
 		return left == 0 ? 0
 				 : chargeable_count(w, j, MIN(left, res_fit_count(j, &room)));
 	case FIT_CHARGED:
-		left = MIN(left_on(s, j, worker, hold), j->accelerators);
+		left = MIN(unused_on(s, j, worker, hold), j->accelerators);
 		return left == 0 ? 0 : chargeable_count(w, j, left);
 	case FIT_FIRM:
 		firm = worker_firm_room(w);
@@ -98,18 +106,18 @@
 	return 0;
 }
 
-/* Halve all counts once they are many, so that older jobs fade. */
-static void fade_shapes(struct sched *s, uint32_t sum)
+/* Halves all counts when their sum gets large, so that older jobs lose weight. */
+static void decay_shape_demand(struct sched *s, uint32_t sum)
 {
-	for (int a = 0; sum > SHAPES_KEPT && a < 3; a++) {
+	for (int a = 0; sum > SHAPE_DEMAND_MAX && a < 3; a++) {
 		for (uint32_t n = 0; n <= JOB_ACCELERATORS_MAX; n++)
 			s->shape_demand[a][n] /= 2;
 	}
 }
 
 /*
- * Count the accelerators that a job asks for under its shape, and work out for each adjacency
- * and n which part of all the demand is for shapes of more than n.
+ * Adds the accelerators that a job requests to the demand for its shape and updates, for each
+ * adjacency and each n, the part of all demand that is for shapes of more than n accelerators.
  */
 void fit_count_shape(struct sched *s, const struct sched_job *j)
 {
@@ -130,27 +138,28 @@
 			above += s->shape_demand[a][n];
 		}
 	}
-	fade_shapes(s, sum);
+	decay_shape_demand(s, sum);
 }
 
-/* The part of the demand with an adjacency that needs more than n accelerators. */
-static double part_above(const struct sched *s, enum adjacency a, uint32_t n)
+/* Returns the part of all demand that has an adjacency and more than n accelerators. */
+static double demand_part_above(const struct sched *s, enum adjacency a, uint32_t n)
 {
 	return n > JOB_ACCELERATORS_MAX ? 0 : s->demand_above[a][n];
 }
 
-/* Useless accelerators among the free ones of a worker, then of a rack. */
-static double worker_waste(const struct sched *s, uint32_t free_count)
+/* Returns the expected number of unusable accelerators among the free ones of a worker. */
+static double worker_unusable(const struct sched *s, uint32_t free_count)
 {
-	return free_count * part_above(s, ADJACENCY_WORKER, free_count);
+	return free_count * demand_part_above(s, ADJACENCY_WORKER, free_count);
 }
 
-static double rack_waste(const struct sched *s, uint32_t free_count)
+/* Returns the expected number of unusable accelerators among the free ones of a rack. */
+static double rack_unusable(const struct sched *s, uint32_t free_count)
 {
-	return free_count * part_above(s, ADJACENCY_RACK, free_count);
+	return free_count * demand_part_above(s, ADJACENCY_RACK, free_count);
 }
 
-/* Physically free accelerators of a worker. */
+/* Returns the number of physically free accelerators of a worker that is up. */
 static uint32_t free_count(const struct sched_worker *w)
 {
 	struct sched_res r = worker_free(w);
@@ -158,32 +167,32 @@
 	return w->up && r.accelerators > 0 ? (uint32_t)r.accelerators : 0;
 }
 
-/* What a search works with. */
+/* Accelerators that each worker and rack can take of the job, and those free in each rack. */
 struct search {
-	uint32_t *room;
-	uint32_t *rack_room;
+	uint32_t *capacity;
+	uint32_t *rack_capacity;
 	uint32_t *rack_free;
 };
 
-/* The growth of the measure when n accelerators of a worker are taken. */
-static double waste_growth(
+/* Returns by how much fragmentation grows when n accelerators of a worker are taken. */
+static double fragmentation_growth(
 	const struct sched *s, const struct search *f, const struct sched_worker *w, uint32_t n)
 {
 	uint32_t have = MIN(free_count(w), JOB_ACCELERATORS_MAX);
 	uint32_t in_rack = f->rack_free[w->rack];
-	double growth = worker_waste(s, have - MIN(n, have)) - worker_waste(s, have);
+	double growth = worker_unusable(s, have - MIN(n, have)) - worker_unusable(s, have);
 
-	return growth + rack_waste(s, in_rack - MIN(n, in_rack)) - rack_waste(s, in_rack);
+	return growth + rack_unusable(s, in_rack - MIN(n, in_rack)) - rack_unusable(s, in_rack);
 }
 
-/* Prepare a search; false where the job cannot fit at all. */
+/* Prepares a search; returns false if the workers together cannot take the job. */
 static bool search_init(struct sched *s, int64_t now, const struct sched_job *j,
 	enum fit_mode mode, const struct sched_hold *hold, struct search *f, struct fit *out)
 {
 	uint32_t total = 0;
 
-	f->room = xcalloc(s->workers->len, sizeof(*f->room));
-	f->rack_room = xcalloc(s->racks->len, sizeof(*f->rack_room));
+	f->capacity = xcalloc(s->workers->len, sizeof(*f->capacity));
+	f->rack_capacity = xcalloc(s->racks->len, sizeof(*f->rack_capacity));
 	f->rack_free = xcalloc(s->racks->len, sizeof(*f->rack_free));
 	for (uint32_t i = 0; i < s->workers->len; i++) {
 		struct sched_worker *w = sched_worker_at(s, i);
@@ -196,23 +205,23 @@
 		if (mode != FIT_CHARGED && mode != FIT_CHARGED_FREE &&
 			delays_reservation(w, j, now))
 			continue;
-		f->room[i] = fit_room(s, j, i, mode, hold);
-		f->rack_room[w->rack] += f->room[i];
-		total += f->room[i];
+		f->capacity[i] = fit_room(s, j, i, mode, hold);
+		f->rack_capacity[w->rack] += f->capacity[i];
+		total += f->capacity[i];
 		out->considered++;
-		out->largest = MAX(out->largest, f->room[i]);
+		out->largest = MAX(out->largest, f->capacity[i]);
 	}
 	return total >= MAX(j->accelerators, 1);
 }
 
 static void search_clear(struct search *f)
 {
-	free(f->room);
-	free(f->rack_room);
+	free(f->capacity);
+	free(f->rack_capacity);
 	free(f->rack_free);
 }
 
-/* Add a member. */
+/* Adds a member to a placement; returns false if it has the maximum number of members. */
 static bool add_member(const struct sched_job *j, struct fit *out, uint32_t worker, uint32_t n)
 {
 	struct sched_member *m;
@@ -227,7 +236,10 @@
 	return true;
 }
 
-/* The best worker that takes n accelerators, or in the baselines the first. */
+/*
+ * Returns the worker that takes n accelerators with the least growth of fragmentation, or the
+ * first one under the baseline policies; -1 if there is none. rack -1 stands for all racks.
+ */
 static int best_worker(const struct sched *s, const struct search *f, const struct sched_job *j,
 	int rack, uint32_t n, enum fit_mode mode)
 {
@@ -238,13 +250,13 @@
 		const struct sched_worker *w = sched_worker_at(s, i);
 		double score;
 
-		if (f->room[i] < MAX(n, 1) || (rack >= 0 && w->rack != (uint32_t)rack))
+		if (f->capacity[i] < MAX(n, 1) || (rack >= 0 && w->rack != (uint32_t)rack))
 			continue;
 		if (s->policy != SCHED_POLICY_FULL)
 			return (int)i;
-		score = waste_growth(s, f, w, n) + 0.01 * free_count(w);
+		score = fragmentation_growth(s, f, w, n) + FREE_WEIGHT * free_count(w);
 		if (mode == FIT_BORROWED && !j->charged)
-			score += 0.002 * w->held;
+			score += HELD_WEIGHT * w->held;
 		if (best < 0 || score < best_score) {
 			best = (int)i;
 			best_score = score;
@@ -253,45 +265,48 @@
 	return best;
 }
 
-/* Take n accelerators within a rack (-1: anywhere): the roomiest workers, the last tightly. */
-static bool spread(const struct sched *s, struct search *f, const struct sched_job *j, int rack,
-	uint32_t n, enum fit_mode mode, struct fit *out)
+/*
+ * Places n accelerators on several workers of a rack, or of all racks if it is -1. The workers
+ * that can take most are filled first; the rest goes to the worker that suits it best.
+ */
+static bool place_on_several(const struct sched *s, struct search *f, const struct sched_job *j,
+	int rack, uint32_t n, enum fit_mode mode, struct fit *out)
 {
 	while (n > 0) {
-		int one = best_worker(s, f, j, rack, n, mode);
+		int chosen = best_worker(s, f, j, rack, n, mode);
 		uint32_t part = n;
 
-		for (uint32_t i = 0; one < 0 && i < s->workers->len; i++) {
+		for (uint32_t i = 0; chosen < 0 && i < s->workers->len; i++) {
 			const struct sched_worker *w = sched_worker_at(s, i);
 
-			if ((rack >= 0 && w->rack != (uint32_t)rack) || f->room[i] == 0)
+			if ((rack >= 0 && w->rack != (uint32_t)rack) || f->capacity[i] == 0)
 				continue;
-			part = f->room[i];
-			one = (int)i;
+			part = f->capacity[i];
+			chosen = (int)i;
 		}
 		for (uint32_t i = 0; part < n && i < s->workers->len; i++) {
 			const struct sched_worker *w = sched_worker_at(s, i);
 
-			if ((rack < 0 || w->rack == (uint32_t)rack) && f->room[i] > part) {
-				part = f->room[i];
-				one = (int)i;
+			if ((rack < 0 || w->rack == (uint32_t)rack) && f->capacity[i] > part) {
+				part = f->capacity[i];
+				chosen = (int)i;
 			}
 		}
-		if (one < 0 || !add_member(j, out, (uint32_t)one, part))
+		if (chosen < 0 || !add_member(j, out, (uint32_t)chosen, part))
 			return false;
-		f->room[one] = 0;
+		f->capacity[chosen] = 0;
 		n -= part;
 	}
 	return true;
 }
 
-/* The rack with the least room that still takes the job; -1 for none. */
+/* Returns the rack with the fewest free accelerators that can take the job, or -1. */
 static int best_rack(const struct sched *s, const struct search *f, const struct sched_job *j)
 {
 	int best = -1;
 
 	for (uint32_t r = 0; r < s->racks->len; r++) {
-		if (f->rack_room[r] < j->accelerators)
+		if (f->rack_capacity[r] < j->accelerators)
 			continue;
 		if (s->policy != SCHED_POLICY_FULL)
 			return (int)r;
@@ -301,7 +316,7 @@
 	return best;
 }
 
-/* Find a place for a job. */
+/* Finds a placement for a job; returns whether there is one. */
 bool fit_job(struct sched *s, int64_t now, const struct sched_job *j, enum fit_mode mode,
 	const struct sched_hold *hold, struct fit *out)
 {
@@ -321,17 +336,17 @@
 	} else if (j->adjacency != ADJACENCY_WORKER && j->accelerators > 1) {
 		rack = best_rack(s, &f, j);
 		if (rack >= 0 || j->adjacency == ADJACENCY_ANY)
-			ok = spread(s, &f, j, rack, j->accelerators, mode, out);
+			ok = place_on_several(s, &f, j, rack, j->accelerators, mode, out);
 	}
 	search_clear(&f);
 	return ok;
 }
 
-/* The measure for the whole cell: useless free accelerators by all accelerators. */
+/* Returns the fragmentation of the cell: unusable free accelerators by all accelerators. */
 double fit_fragmentation(const struct sched *s)
 {
 	uint32_t *rack_free = xcalloc(s->racks->len, sizeof(*rack_free));
-	double waste = 0;
+	double unusable = 0;
 	uint32_t all = 0;
 	uint32_t total = 0;
 
@@ -343,11 +358,11 @@
 		all += (uint32_t)w->capacity.accelerators;
 		total += free_count(w);
 		rack_free[w->rack] += free_count(w);
-		waste += worker_waste(s, free_count(w));
+		unusable += worker_unusable(s, free_count(w));
 	}
 	for (uint32_t r = 0; r < s->racks->len; r++)
-		waste += rack_waste(s, rack_free[r]);
-	waste += total * part_above(s, ADJACENCY_ANY, total);
+		unusable += rack_unusable(s, rack_free[r]);
+	unusable += total * demand_part_above(s, ADJACENCY_ANY, total);
 	free(rack_free);
-	return all > 0 ? waste / all : 0;
+	return all > 0 ? unusable / all : 0;
 }
