--- a/packages/coordination/sched-queue.c
+++ b/packages/coordination/sched-queue.c
@@ -4,20 +4,21 @@
 #include <string.h>
 
 /*
- * The order of the queue: urgent classes first, then by a key that is fixed when the job
- * comes: its time of arrival plus a multiple of its expected work. Short jobs go first among
- * those of one age; as keys of later jobs only grow, none waits for ever.
+ * The queue is ordered by urgency and then by a key that is computed when a job is queued: its
+ * arrival time plus a multiple of its expected run time and an offset for its class. Of jobs
+ * that arrive together, short ones come first. As the keys of later arrivals grow with time, no
+ * job starves.
  */
 
-#define STRETCH_MAX	   10.0
-#define PRIORITY_STEP	   (30 * NSEC_PER_SEC)
-#define TRIES_MAX	   400
-#define CLAIM_TRIES_MAX	   64
-#define RESERVATIONS_MAX   3
-#define TURNS_MAX	   8
-#define LARGE_ACCELERATORS 8
+#define STRETCH_MAX	   10.0 /* run times added to the key at a completion weight of 1 */
+#define PRIORITY_STEP	   (30 * NSEC_PER_SEC) /* added to the key per class priority */
+#define ATTEMPTS_MAX	   400		       /* jobs tried in a pass */
+#define CLAIM_ATTEMPTS_MAX 64 /* queued jobs of an organisation looked at in a pass */
+#define RESERVATIONS_MAX   3  /* in a pass */
+#define PREEMPTIONS_MAX	   8  /* jobs in a pass that may try to preempt others */
+#define LARGE_JOB	   8  /* accelerators */
 
-/* Compare two queued jobs. */
+/* Compares two queued jobs for the queue of the cell. */
 int queue_compare(const void *a, const void *b, void *arg)
 {
 	const struct sched_job *x = a;
@@ -34,8 +35,8 @@
 }
 
 /*
- * Compare two jobs of one organisation for its guarantee: by arrival, so that a job for which
- * there was room when it came is not overtaken.
+ * Compares two jobs of one organisation for the use of its guarantees: urgent ones first, then
+ * by arrival, so that a job that fitted when it arrived is not overtaken by later ones.
  */
 int queue_compare_arrival(const void *a, const void *b, void *arg)
 {
@@ -52,7 +53,7 @@
 	return 0;
 }
 
-/* The key of a job in the order. */
+/* Returns the key by which a job is ordered in the queue. */
 static int64_t queue_key(const struct sched *s, const struct sched_job *j)
 {
 	double stretch = STRETCH_MAX * s->completion_weight;
@@ -63,7 +64,7 @@
 	       (int64_t)j->class_priority * PRIORITY_STEP;
 }
 
-/* Put a job into the queue. */
+/* Adds a job to the queue of the cell and to that of its organisation. */
 void queue_add(struct sched *s, int64_t now, struct sched_job *j)
 {
 	j->state = SCHED_JOB_QUEUED;
@@ -75,15 +76,15 @@
 	s->dirty = true;
 }
 
-/* Take a job out of the queue. */
+/* Removes a job from both queues. */
 void queue_remove(struct sched *s, struct sched_job *j)
 {
 	g_tree_remove(s->queue, j);
 	g_tree_remove(sched_org_at(s, j->org)->queue, j);
 }
 
-/* Whether a job may be tried now; notes why not. */
-static bool may_try(struct sched *s, int64_t now, struct sched_job *j)
+/* Returns whether a job may be placed now; if not, records the reason. */
+static bool is_eligible(struct sched *s, int64_t now, struct sched_job *j)
 {
 	const struct sched_org *o = sched_org_at(s, j->org);
 
@@ -100,8 +101,8 @@
 	return true;
 }
 
-/* Snapshot of the first jobs of a queue, as the pass changes the tree. */
-static GPtrArray *list_jobs(GTree *queue, guint max)
+/* Returns a copy of the first jobs of a queue, as the pass changes the tree. */
+static GPtrArray *copy_queue(GTree *queue, guint max)
 {
 	GPtrArray *list = g_ptr_array_new();
 	GTreeNode *n = g_tree_node_first(queue);
@@ -111,8 +112,8 @@
 	return list;
 }
 
-/* Accelerators of its guarantees that an organisation does not use. */
-static uint32_t left_total(const struct sched *s, uint32_t org)
+/* Returns the guaranteed accelerators that an organisation does not use. */
+static uint32_t org_unused_total(const struct sched *s, uint32_t org)
 {
 	uint32_t sum = 0;
 
@@ -121,32 +122,35 @@
 	return sum;
 }
 
-/* Let one organisation claim what it is guaranteed. */
-static void claim_org(struct sched *s, int64_t now, uint32_t org)
+/* Starts queued jobs of an organisation within its unused guarantees. */
+static void claim_guarantees(struct sched *s, int64_t now, uint32_t org)
 {
-	uint32_t left = left_total(s, org);
+	uint32_t unused = org_unused_total(s, org);
 	uint32_t smallest_failed = UINT32_MAX;
 	GPtrArray *list;
 
-	if (left == 0)
+	if (unused == 0)
 		return;
-	list = list_jobs(sched_org_at(s, org)->queue, CLAIM_TRIES_MAX);
-	for (guint i = 0; i < list->len && left > 0; i++) {
+	list = copy_queue(sched_org_at(s, org)->queue, CLAIM_ATTEMPTS_MAX);
+	for (guint i = 0; i < list->len && unused > 0; i++) {
 		struct sched_job *j = list->pdata[i];
 
-		if (j->accelerators == 0 || j->accelerators > left ||
-			(j->accelerators >= smallest_failed) || !may_try(s, now, j))
+		if (j->accelerators == 0 || j->accelerators > unused ||
+			(j->accelerators >= smallest_failed) || !is_eligible(s, now, j))
 			continue;
 		if (claim_start(s, now, j))
-			left = left_total(s, org);
+			unused = org_unused_total(s, org);
 		else if (j->adjacency == ADJACENCY_ANY)
 			smallest_failed = MIN(smallest_failed, j->accelerators);
 	}
 	g_ptr_array_unref(list);
 }
 
-/* What makes two jobs alike for placement; run times count by their order of magnitude. */
-static uint64_t signature(const struct sched_job *j)
+/*
+ * Returns a hash that is equal for jobs with the same placement requirements. Run times are
+ * compared by their power of two.
+ */
+static uint64_t placement_hash(const struct sched_job *j)
 {
 	uint64_t h = (uint64_t)j->accelerators * 64 + g_bit_storage((gulong)j->estimate);
 
@@ -156,68 +160,72 @@
 	return h * 1000003 + j->memory_mb;
 }
 
-/* An end of a running job, for reservations. */
-struct ending {
+/* Expected end of a running job. */
+struct expected_end {
 	int64_t at;
 	const struct sched_job *job;
 };
 
-static int compare_endings(const void *a, const void *b)
+static int compare_expected_ends(const void *a, const void *b)
 {
-	const struct ending *x = a;
-	const struct ending *y = b;
+	const struct expected_end *x = a;
+	const struct expected_end *y = b;
 
 	if (x->at != y->at)
 		return x->at < y->at ? -1 : 1;
 	return x->job->sequence < y->job->sequence ? -1 : x->job->sequence > y->job->sequence;
 }
 
-/* Expected ends of all that runs, soonest first. */
-static GArray *list_endings(const struct sched *s, int64_t now)
+/* Returns the expected ends of all jobs that have resources, soonest first. */
+static GArray *list_expected_ends(const struct sched *s, int64_t now)
 {
-	GArray *list = g_array_new(FALSE, TRUE, sizeof(struct ending));
+	GArray *list = g_array_new(FALSE, TRUE, sizeof(struct expected_end));
 
 	for (guint i = 0; i < s->active->len; i++) {
 		const struct sched_job *j = s->active->pdata[i];
-		struct ending e = {.at = learn_expected_end(j, now), .job = j};
+		struct expected_end e = {.at = learn_expected_end(j, now), .job = j};
 
 		g_array_append_val(list, e);
 	}
-	g_array_sort(list, compare_endings);
+	g_array_sort(list, compare_expected_ends);
 	return list;
 }
 
-/* Whether a job would fit into rooms around a worker; fills which workers it would take. */
-static bool rooms_suffice(const struct sched *s, const struct sched_job *j,
-	const uint32_t *room, uint32_t at, GArray *workers)
+/*
+ * Returns whether a job would fit on workers with the given capacities, using the worker at or
+ * others within its adjacency. Fills in the workers that it would use.
+ */
+static bool capacities_suffice(const struct sched *s, const struct sched_job *j,
+	const uint32_t *capacity, uint32_t at, GArray *workers)
 {
 	uint32_t rack = sched_worker_at(s, at)->rack;
 	uint32_t sum = 0;
 
 	g_array_set_size(workers, 0);
-	if (room[at] >= j->accelerators) {
+	if (capacity[at] >= j->accelerators) {
 		g_array_append_val(workers, at);
 		return true;
 	}
 	if (j->adjacency == ADJACENCY_WORKER)
 		return false;
 	for (uint32_t w = 0; w < s->workers->len && sum < j->accelerators; w++) {
-		if (room[w] == 0 ||
+		if (capacity[w] == 0 ||
 			(j->adjacency == ADJACENCY_RACK && sched_worker_at(s, w)->rack != rack))
 			continue;
-		sum += room[w];
+		sum += capacity[w];
 		g_array_append_val(workers, w);
 	}
 	return sum >= j->accelerators;
 }
 
 /*
- * Reserve a place for a blocked gang: go through the expected ends until it fits. Later jobs
- * may use the place only if they are expected to end before.
+ * Reserves workers for a blocked large job: adds up the accelerators that running jobs are
+ * expected to release, in order of time, until the job fits. Other jobs are placed on these
+ * workers only if they are expected to end before that time.
  */
-static bool reserve_place(struct sched *s, struct sched_job *j, GArray *endings)
+static bool reserve_workers(struct sched *s, struct sched_job *j, GArray *ends)
 {
-	uint32_t *room = xcalloc(s->workers->len, sizeof(*room));
+	uint32_t *capacity = xcalloc(s->workers->len, sizeof(*capacity));
 	GArray *workers = g_array_new(FALSE, TRUE, sizeof(uint32_t));
 	enum fit_mode mode = job_stoppable(j) ? FIT_BORROWED : FIT_FIRM;
 	bool found = false;
@@ -228,10 +236,10 @@
 
 		if (at->up && !at->draining && !at->quarantined &&
 			at->reserved_for == JOB_REF_NONE)
-			room[w] = fit_room(s, j, w, mode, NULL);
+			capacity[w] = fit_room(s, j, w, mode, NULL);
 	}
-	for (guint i = 0; !found && i < endings->len; i++) {
-		const struct ending *e = &g_array_index(endings, struct ending, i);
+	for (guint i = 0; !found && i < ends->len; i++) {
+		const struct expected_end *e = &g_array_index(ends, struct expected_end, i);
 
 		for (uint32_t m = 0; !found && m < e->job->members_len; m++) {
 			uint32_t w = e->job->members[m].worker;
@@ -239,8 +247,8 @@
 
 			if (!at->up || at->draining || at->reserved_for != JOB_REF_NONE)
 				continue;
-			room[w] += e->job->members[m].accelerators;
-			found = rooms_suffice(s, j, room, w, workers);
+			capacity[w] += e->job->members[m].accelerators;
+			found = capacities_suffice(s, j, capacity, w, workers);
 			when = e->at;
 		}
 	}
@@ -254,26 +262,29 @@
 	if (found)
 		j->decision.expected = when;
 	g_array_unref(workers);
-	free(room);
+	free(capacity);
 	return found;
 }
 
-/* Forget the reservations of the pass before. */
+/* Clears the reservations of the previous pass. */
 static void clear_reservations(struct sched *s)
 {
 	for (uint32_t w = 0; w < s->workers->len; w++)
 		sched_worker_at(s, w)->reserved_for = JOB_REF_NONE;
 }
 
-/* Try to start one job on capacity that nobody needs now. */
-static bool try_start(struct sched *s, int64_t now, struct sched_job *j, bool behind)
+/*
+ * Tries to place a job without preempting others. A job that cannot be stopped may have unused
+ * holds moved out of its way. backfill is set if a job ahead of it is blocked.
+ */
+static bool try_place(struct sched *s, int64_t now, struct sched_job *j, bool backfill)
 {
 	bool firm = s->policy == SCHED_POLICY_FULL && !job_stoppable(j);
 	struct fit f;
 
 	if (fit_job(s, now, j, firm ? FIT_FIRM : FIT_BORROWED, NULL, &f)) {
 		j->decision = (struct sched_decision){
-			.why = behind ? SCHED_WHY_BACKFILL : SCHED_WHY_FREE,
+			.why = backfill ? SCHED_WHY_BACKFILL : SCHED_WHY_FREE,
 			.at = now,
 			.considered = f.considered};
 		sched_take(s, j, &f, false, NULL, false);
@@ -291,58 +302,65 @@
 	return false;
 }
 
-/* Go through the queue in order and start what fits. */
-static void start_in_order(struct sched *s, int64_t now)
+/*
+ * Goes through the queue in order and places the jobs that fit. A job with the same
+ * requirements as one that failed is skipped. Blocked jobs that are urgent, and the first large
+ * one, may preempt others; blocked large jobs get reservations. The FIFO policy stops at the
+ * first blocked job.
+ */
+static void place_in_order(struct sched *s, int64_t now)
 {
-	GPtrArray *list = list_jobs(s->queue, TRIES_MAX * 4);
+	GPtrArray *list = copy_queue(s->queue, ATTEMPTS_MAX * 4);
 	GHashTable *failed = g_hash_table_new_full(g_int64_hash, g_int64_equal, free, NULL);
-	GArray *endings = NULL;
+	GArray *ends = NULL;
 	uint32_t reservations = 0;
-	uint32_t turns = 0;
-	bool gang_blocked = false;
-	uint32_t tries = 0;
-	bool behind = false;
+	uint32_t preemptions = 0;
+	bool large_blocked = false;
+	uint32_t attempts = 0;
+	bool backfill = false;
 
-	for (guint i = 0; i < list->len && tries < TRIES_MAX; i++) {
+	for (guint i = 0; i < list->len && attempts < ATTEMPTS_MAX; i++) {
 		struct sched_job *j = list->pdata[i];
-		uint64_t sig = signature(j);
+		uint64_t hash = placement_hash(j);
 
 		j->decision.before = i;
-		if (!may_try(s, now, j))
+		if (!is_eligible(s, now, j))
 			continue;
-		if (g_hash_table_contains(failed, &sig)) {
+		if (g_hash_table_contains(failed, &hash)) {
 			j->decision.why = SCHED_WHY_BEHIND;
 			continue;
 		}
-		tries++;
-		if (try_start(s, now, j, behind))
+		attempts++;
+		if (try_place(s, now, j, backfill))
 			continue;
 		if (s->policy == SCHED_POLICY_FIFO)
 			break;
-		if (s->policy == SCHED_POLICY_FULL && turns < TURNS_MAX &&
-			(j->urgent ||
-				(!gang_blocked && j->accelerators >= LARGE_ACCELERATORS))) {
-			turns++;
-			gang_blocked |= !j->urgent;
+		if (s->policy == SCHED_POLICY_FULL && preemptions < PREEMPTIONS_MAX &&
+			(j->urgent || (!large_blocked && j->accelerators >= LARGE_JOB))) {
+			preemptions++;
+			large_blocked |= !j->urgent;
 			if (claim_turn(s, now, j))
 				continue;
 		}
-		g_hash_table_add(failed, g_memdup2(&sig, sizeof(sig)));
+		g_hash_table_add(failed, g_memdup2(&hash, sizeof(hash)));
 		if (s->policy == SCHED_POLICY_FULL && reservations < RESERVATIONS_MAX &&
-			j->accelerators >= LARGE_ACCELERATORS) {
-			if (endings == NULL)
-				endings = list_endings(s, now);
-			reservations += reserve_place(s, j, endings);
+			j->accelerators >= LARGE_JOB) {
+			if (ends == NULL)
+				ends = list_expected_ends(s, now);
+			reservations += reserve_workers(s, j, ends);
 		}
-		behind = true;
+		backfill = true;
 	}
-	if (endings != NULL)
-		g_array_unref(endings);
+	if (ends != NULL)
+		g_array_unref(ends);
 	g_hash_table_destroy(failed);
 	g_ptr_array_unref(list);
 }
 
-/* One pass over the queue. */
+/*
+ * Runs a scheduling pass: reservations are made anew, guarantees are served first, and then
+ * the queue in its order.
+ */
 void queue_pass(struct sched *s, int64_t now)
 {
 	if (s->policy == SCHED_POLICY_FULL) {
@@ -351,7 +369,7 @@
 		plan_avoid_unfit(s);
 		claim_finish(s, now);
 		for (uint32_t o = 0; o < s->orgs->len; o++)
-			claim_org(s, now, o);
+			claim_guarantees(s, now, o);
 	}
-	start_in_order(s, now);
+	place_in_order(s, now);
 }
