--- a/packages/coordination/sched-admit.c
+++ b/packages/coordination/sched-admit.c
@@ -1,8 +1,11 @@
 #include "sched-private.h"
 
-/* Jobs that can never run, or that find the queues full, are refused at once. */
+/* Admission control: rejects jobs that can never run or that exceed a quota or queue limit. */
 
-/* The most accelerators that the topology offers within an adjacency; 0 if not declared. */
+/*
+ * Returns the number of accelerators that the declared topology has within an adjacency; 0 if
+ * no topology is declared.
+ */
 static uint32_t topology_max(const struct sched *s, enum adjacency a)
 {
 	switch (a) {
@@ -17,7 +20,7 @@
 	return 0;
 }
 
-/* Sum of what is guaranteed to others than an organisation. */
+/* Returns the accelerators that are guaranteed to all other organisations. */
 static uint32_t guaranteed_to_others(const struct sched *s, uint32_t org)
 {
 	uint32_t sum = 0;
@@ -29,9 +32,11 @@
 	return sum;
 }
 
-/* Whether some worker's share of an accelerator covers what a job needs with each of its own.
+/*
+ * Returns whether on some worker the share of one accelerator covers what the job needs per
+ * accelerator; true if no worker is known yet.
  */
-static bool is_coverable(const struct sched *s, const struct sched_job *j)
+static bool share_covers_somewhere(const struct sched *s, const struct sched_job *j)
 {
 	struct sched_res need = res_need(j, 1);
 
@@ -43,10 +48,11 @@
 }
 
 /*
- * Whether a job that cannot be stopped has no place even in an empty cell, as all of it is
- * guaranteed to others.
+ * Returns whether a job that cannot be stopped would not fit even into an empty cell, because
+ * too much of the cell is guaranteed to other organisations. A job that cannot be charged to
+ * its own organisation's guarantee must not use that one either.
  */
-static bool is_crowded_out(const struct sched *s, const struct sched_job *j)
+static bool is_excluded_by_guarantees(const struct sched *s, const struct sched_job *j)
 {
 	const struct sched_org *o = sched_org_at(s, j->org);
 	uint32_t others = guaranteed_to_others(s, j->org);
@@ -54,61 +60,63 @@
 
 	if (s->policy != SCHED_POLICY_FULL || s->declared_workers == 0 || job_stoppable(j))
 		return false;
-	if (j->accelerators == 0 || !is_coverable(s, j))
+	if (j->accelerators == 0 || !share_covers_somewhere(s, j))
 		return j->accelerators + o->guaranteed + others > all - (j->accelerators == 0);
 	return j->accelerators > o->guaranteed && j->accelerators + others > all;
 }
 
-/* Refuse a job that can never run, or that finds the queues full; false if it was refused. */
+/* Returns whether a job is admitted; a job that is not has been ended. */
 bool admit_job(struct sched *s, struct sched_job *j)
 {
 	const struct sched_org *o = sched_org_at(s, j->org);
-	uint32_t most = topology_max(s, j->adjacency);
+	uint32_t limit = topology_max(s, j->adjacency);
 	uint32_t class_queue_max = GPOINTER_TO_UINT(
 		g_hash_table_lookup(s->class_queue_max, GUINT_TO_POINTER(j->class_priority)));
 	uint32_t class_jobs = GPOINTER_TO_UINT(
 		g_hash_table_lookup(o->class_jobs, GUINT_TO_POINTER(j->class_priority)));
 
-	if (s->declared_workers > 0 && j->accelerators > most)
+	if (s->declared_workers > 0 && j->accelerators > limit)
 		sched_end(s, j, OUTCOME_NOT_RUN, ERR_IMPOSSIBLE, true,
-			"%u accelerators within %s were asked for; the cell has %u at most",
-			j->accelerators, adjacency_name(j->adjacency), most);
+			"the job requests %u accelerators with adjacency %s; the cell has at "
+			"most %u",
+			j->accelerators, adjacency_name(j->adjacency), limit);
 	else if (o->quota_accelerators > 0 && j->accelerators > o->quota_accelerators)
 		sched_end(s, j, OUTCOME_NOT_RUN, ERR_QUOTA, true,
-			"%u accelerators were asked for; the quota is %u", j->accelerators,
-			o->quota_accelerators);
-	else if (is_crowded_out(s, j))
+			"the job requests %u accelerators; the quota of its organisation is %u",
+			j->accelerators, o->quota_accelerators);
+	else if (is_excluded_by_guarantees(s, j))
 		sched_end(s, j, OUTCOME_NOT_RUN, ERR_IMPOSSIBLE, true,
-			"a job that cannot be stopped needs its own guarantee or capacity that "
-			"nobody is guaranteed; %u accelerators of that kind there will never "
-			"be",
+			"a job that cannot be stopped needs accelerators that are guaranteed "
+			"to its organisation or to none; the cell cannot provide %u of them",
 			j->accelerators);
 	else if (o->quota_jobs > 0 && o->jobs > o->quota_jobs)
 		sched_end(s, j, OUTCOME_NOT_RUN, ERR_OVERLOAD, true,
-			"the organisation has %u jobs, which is its quota", o->quota_jobs);
+			"the organisation has reached its quota of %u jobs", o->quota_jobs);
 	else if (o->jobs > s->queue_max ||
 		 (class_queue_max > 0 && class_jobs > class_queue_max))
 		sched_end(s, j, OUTCOME_NOT_RUN, ERR_OVERLOAD, true,
-			"%u jobs of the organisation are waiting or running", o->jobs - 1);
+			"the queue limit is reached: the organisation has %u jobs queued or "
+			"running",
+			o->jobs - 1);
 	else
 		return true;
 	return false;
 }
 
-/* End the waiting jobs that a new document leaves no place for. */
+/* Ends the queued jobs that can never run under a new configuration. */
 void admit_recheck_queued(struct sched *s)
 {
-	g_autoptr(GPtrArray) out = g_ptr_array_new();
+	g_autoptr(GPtrArray) excluded = g_ptr_array_new();
 
 	for (GTreeNode *n = g_tree_node_first(s->queue); n != NULL; n = g_tree_node_next(n)) {
-		if (is_crowded_out(s, g_tree_node_key(n)))
-			g_ptr_array_add(out, g_tree_node_key(n));
+		if (is_excluded_by_guarantees(s, g_tree_node_key(n)))
+			g_ptr_array_add(excluded, g_tree_node_key(n));
 	}
-	for (guint i = 0; i < out->len; i++) {
-		struct sched_job *j = out->pdata[i];
+	for (guint i = 0; i < excluded->len; i++) {
+		struct sched_job *j = excluded->pdata[i];
 
 		sched_end(s, j, OUTCOME_NOT_RUN, ERR_IMPOSSIBLE, !j->ran,
-			"the configuration changed: all that could take the job is guaranteed "
-			"to others");
+			"the configuration changed: the capacity that the job needs is now "
+			"guaranteed to other organisations");
 	}
 }
