--- a/packages/coordination/sched-private.h
+++ b/packages/coordination/sched-private.h
@@ -145,13 +145,13 @@
 void res_add(struct sched_res *a, const struct sched_res *b);
 void res_sub(struct sched_res *a, const struct sched_res *b);
 bool res_equal(const struct sched_res *a, const struct sched_res *b);
-bool res_fits(const struct sched_res *need, const struct sched_res *room);
+bool res_fits(const struct sched_res *need, const struct sched_res *available);
 struct sched_res res_share(const struct sched_res *capacity, uint32_t accelerators);
 struct sched_res res_need(const struct sched_job *j, uint32_t accelerators);
 bool share_covers(const struct sched_worker *w, const struct sched_res *need, uint32_t n);
 struct sched_res worker_free(const struct sched_worker *w);
 struct sched_res worker_firm_room(const struct sched_worker *w);
-uint32_t res_fit_count(const struct sched_job *j, const struct sched_res *room);
+uint32_t res_fit_count(const struct sched_job *j, const struct sched_res *available);
 
 /* sched-hold.c: accounting of guaranteed shapes and of the jobs charged to them. */
 uint32_t org_left(const struct sched *s, uint32_t org, uint32_t worker);
--- a/packages/coordination/sched-res.c
+++ b/packages/coordination/sched-res.c
@@ -1,6 +1,6 @@
 #include "sched-private.h"
 
-/* Add b to a. */
+/* Adds b to a. */
 void res_add(struct sched_res *a, const struct sched_res *b)
 {
 	a->accelerators += b->accelerators;
@@ -9,7 +9,7 @@
 	a->memory_mb += b->memory_mb;
 }
 
-/* Take b from a. */
+/* Subtracts b from a. */
 void res_sub(struct sched_res *a, const struct sched_res *b)
 {
 	a->accelerators -= b->accelerators;
@@ -18,23 +18,25 @@
 	a->memory_mb -= b->memory_mb;
 }
 
-/* Whether two amounts are the same. */
+/* Returns whether two amounts are equal. */
 bool res_equal(const struct sched_res *a, const struct sched_res *b)
 {
 	return a->accelerators == b->accelerators && a->slots == b->slots &&
 	       a->cores == b->cores && a->memory_mb == b->memory_mb;
 }
 
-/* Whether each amount is covered. */
-bool res_fits(const struct sched_res *need, const struct sched_res *room)
+/* Returns whether what is available covers the need for every resource. */
+bool res_fits(const struct sched_res *need, const struct sched_res *available)
 {
-	return need->accelerators <= room->accelerators && need->slots <= room->slots &&
-	       need->cores <= room->cores && need->memory_mb <= room->memory_mb;
+	return need->accelerators <= available->accelerators &&
+	       need->slots <= available->slots && need->cores <= available->cores &&
+	       need->memory_mb <= available->memory_mb;
 }
 
 /*
- * The part of a worker that goes with some of its accelerators: so many times the whole units
- * that each of them has. It is additive, so that books of parts add up.
+ * Returns the share of a worker's resources that belongs to some of its accelerators. The share
+ * of one accelerator is rounded down to whole units and multiplied, so that the shares of parts
+ * add up to the share of the whole.
  */
 struct sched_res res_share(const struct sched_res *capacity, uint32_t accelerators)
 {
@@ -50,7 +52,10 @@
 	return r;
 }
 
-/* Whether the share of n accelerators covers a need; where slots are few they do not count. */
+/*
+ * Returns whether the share of n accelerators of a worker covers a need. Slots are ignored on a
+ * worker that has fewer slots than accelerators, where the share would have none.
+ */
 bool share_covers(const struct sched_worker *w, const struct sched_res *need, uint32_t n)
 {
 	struct sched_res share = res_share(&w->capacity, n);
@@ -60,7 +65,7 @@
 	return res_fits(need, &share);
 }
 
-/* What a member with some of a job's accelerators needs, rounded up. */
+/* Returns what a member with some of a job's accelerators needs, rounded up. */
 struct sched_res res_need(const struct sched_job *j, uint32_t accelerators)
 {
 	int64_t all = j->accelerators > 0 ? j->accelerators : 1;
@@ -74,7 +79,7 @@
 	};
 }
 
-/* What nobody uses or is about to use. */
+/* Returns what is neither in use nor pending on a worker; nothing if it is down. */
 struct sched_res worker_free(const struct sched_worker *w)
 {
 	struct sched_res r = {0};
@@ -87,7 +92,10 @@
 	return r;
 }
 
-/* What may be taken for good: the capacity less firm use and unused guarantees. */
+/*
+ * Returns what can be allocated to jobs that cannot be stopped: the capacity of a worker less
+ * firm use and the share of unused guarantees; nothing if it is down.
+ */
 struct sched_res worker_firm_room(const struct sched_worker *w)
 {
 	struct sched_res r = {0};
@@ -102,21 +110,26 @@
 	return r;
 }
 
-/* How many of a job's accelerators fit into room; for a job without any, 1 if it fits. */
-uint32_t res_fit_count(const struct sched_job *j, const struct sched_res *room)
+/*
+ * Returns how many of a job's accelerators fit into the available resources with what else they
+ * need. For a job without accelerators, returns 1 if it fits and else 0.
+ */
+uint32_t res_fit_count(const struct sched_job *j, const struct sched_res *available)
 {
 	uint32_t n;
 
 	if (j->accelerators == 0) {
 		struct sched_res need = res_need(j, 0);
 
-		return res_fits(&need, room) ? 1 : 0;
+		return res_fits(&need, available) ? 1 : 0;
 	}
-	n = room->accelerators > 0 ? MIN((uint32_t)room->accelerators, j->accelerators) : 0;
+	n = available->accelerators > 0
+		    ? MIN((uint32_t)available->accelerators, j->accelerators)
+		    : 0;
 	while (n > 0) {
 		struct sched_res need = res_need(j, n);
 
-		if (res_fits(&need, room))
+		if (res_fits(&need, available))
 			return n;
 		n--;
 	}
