--- a/packages/coordination/sched.h
+++ b/packages/coordination/sched.h
@@ -72,14 +72,12 @@
 	SCHED_WHY_PREEMPTED
 };
 
-/*
- * The part of a job that runs on one worker; firm is the part of its use that cannot be
- * reclaimed.
- */
+/* The part of a job that runs on one worker. */
 struct sched_member {
 	uint32_t worker;
 	uint32_t accelerators;
 	struct sched_res need;
+	/* Resources that cannot be reclaimed from the member. */
 	struct sched_res firm;
 	bool ended;
 	enum member_end end;
@@ -89,18 +87,19 @@
 struct sched_decision {
 	enum sched_reason why;
 	int64_t at;
+	/* Workers that could be used at all. */
 	uint32_t considered;
+	/* Most accelerators that one of them could take. */
 	uint32_t largest_free;
 	uint32_t own_left;
+	/* Borrowers that are stopped for the job. */
 	uint32_t victims;
+	/* Jobs ahead in the queue. */
 	uint32_t before;
+	/* Time by which the job is expected to be placed; 0 if unknown. */
 	int64_t expected;
 };
 
-/*
- * A job. declared, estimate and saved are durations: the run time that the caller declared, the
- * run time that is expected, and the run time that a checkpoint preserves.
- */
 struct sched_job {
 	job_ref ref;
 	char *id;
@@ -114,6 +113,7 @@
 	uint32_t memory_mb;
 	bool idempotent;
 	bool checkpoint;
+	/* Run time that the caller declared; 0 if none. */
 	int64_t declared;
 	int64_t deadline;
 	int64_t submitted;
@@ -123,10 +123,13 @@
 	enum sched_stop_reason stop;
 	bool cancel_wanted;
 	uint32_t attempt;
+	/* Attempt numbers up to this one are not used again. */
 	uint32_t attempt_floor;
 	uint32_t failures;
 	uint32_t preemptions;
+	/* The job is not placed before this time; set when it is retried. */
 	int64_t not_before;
+	/* Expected run time. */
 	int64_t estimate;
 	int64_t order_key;
 	uint64_t sequence;
@@ -134,7 +137,9 @@
 	int64_t placed_at;
 	int64_t started_at;
 	int64_t claim_at;
+	/* Run time whose results are saved in a checkpoint. */
 	int64_t saved;
+	/* Whether the accelerators count against guarantees of the organisation. */
 	bool charged;
 	GArray *charges;
 	/* Whether an earlier attempt may have started, so that the job cannot be called not
