--- a/packages/coordination/sched-private.h
+++ b/packages/coordination/sched-private.h
@@ -42,22 +42,26 @@
 };
 
 /*
- * pending: what jobs that wait for borrowers to stop will use. firm: what members use or wait
- * for that cannot be reclaimed, because it is charged to a guarantee or the job cannot be
- * stopped. held: guaranteed accelerators that their owners do not use. Invariants for each
- * resource: firm + res_share(held) <= capacity, and used <= capacity. restricted: only
- * idempotent jobs may be placed here. probing: a quarantined worker is running a trial job.
+ * A worker. Two invariants hold for each resource: used does not exceed the capacity, and
+ * neither does what cannot be reclaimed plus the share of the unused guaranteed accelerators.
  */
 struct sched_worker {
 	char *name;
 	uint32_t rack;
 	bool up;
 	bool draining;
+	/* Only idempotent jobs may be placed here. */
 	bool restricted;
 	struct sched_res capacity;
 	struct sched_res used;
+	/* Needs of the jobs that wait for borrowers to stop. */
 	struct sched_res pending;
+	/*
+	 * Used or pending resources that cannot be reclaimed, because they are charged to a
+	 * guarantee or the job cannot be stopped.
+	 */
 	struct sched_res firm;
+	/* Guaranteed accelerators that their owners do not use. */
 	uint32_t held;
 	uint32_t jobs;
 	int64_t reserved_until;
@@ -66,6 +70,7 @@
 	int64_t quarantine_until;
 	int64_t quarantine_length;
 	bool quarantined;
+	/* A quarantined worker runs a trial job. */
 	bool probing;
 };
 
