--- a/packages/coordination/sched-fit.c
+++ b/packages/coordination/sched-fit.c
@@ -76,32 +76,33 @@
 	enum fit_mode mode, const struct sched_hold *hold)
 {
 	const struct sched_worker *w = sched_worker_at(s, worker);
-	struct sched_res room = worker_free(w);
-	struct sched_res firm;
-	uint32_t left;
+	struct sched_res available = worker_free(w);
+	struct sched_res uncommitted;
+	uint32_t unused;
 
 	switch (mode) {
 	case FIT_CHARGED_FREE:
-		left = MIN(unused_on(s, j, worker, hold), j->accelerators);
-		return left == 0 ? 0
-				 : chargeable_count(w, j, MIN(left, res_fit_count(j, &room)));
+		unused = MIN(unused_on(s, j, worker, hold), j->accelerators);
+		return unused == 0 ? 0
+				   : chargeable_count(
+					     w, j, MIN(unused, res_fit_count(j, &available)));
 	case FIT_CHARGED:
-		left = MIN(unused_on(s, j, worker, hold), j->accelerators);
-		return left == 0 ? 0 : chargeable_count(w, j, left);
+		unused = MIN(unused_on(s, j, worker, hold), j->accelerators);
+		return unused == 0 ? 0 : chargeable_count(w, j, unused);
 	case FIT_FIRM:
-		firm = worker_firm_room(w);
-		room = res_min(&room, &firm);
-		return res_fit_count(j, &room);
+		uncommitted = worker_firm_room(w);
+		available = res_min(&available, &uncommitted);
+		return res_fit_count(j, &available);
 	case FIT_BORROWED:
-		return res_fit_count(j, &room);
+		return res_fit_count(j, &available);
 	case FIT_FIRM_CLEARED:
-		firm = worker_firm_room(w);
-		return res_fit_count(j, &firm);
+		uncommitted = worker_firm_room(w);
+		return res_fit_count(j, &uncommitted);
 	case FIT_BORROWED_CLEARED:
-		room = w->capacity;
-		res_sub(&room, &w->firm);
-		res_sub(&room, &w->pending);
-		return res_fit_count(j, &room);
+		available = w->capacity;
+		res_sub(&available, &w->firm);
+		res_sub(&available, &w->pending);
+		return res_fit_count(j, &available);
 	}
 	return 0;
 }
