--- a/packages/coordination/sched-queue.c
+++ b/packages/coordination/sched-queue.c
@@ -279,10 +279,10 @@
  */
 static bool try_place(struct sched *s, int64_t now, struct sched_job *j, bool backfill)
 {
-	bool firm = s->policy == SCHED_POLICY_FULL && !job_stoppable(j);
+	bool nonpreemptible = s->policy == SCHED_POLICY_FULL && !job_stoppable(j);
 	struct fit f;
 
-	if (fit_job(s, now, j, firm ? FIT_FIRM : FIT_BORROWED, NULL, &f)) {
+	if (fit_job(s, now, j, nonpreemptible ? FIT_FIRM : FIT_BORROWED, NULL, &f)) {
 		j->decision = (struct sched_decision){
 			.why = backfill ? SCHED_WHY_BACKFILL : SCHED_WHY_FREE,
 			.at = now,
@@ -291,12 +291,12 @@
 		sched_begin(s, now, j);
 		return true;
 	}
-	if (firm && plan_take_around(s, now, j)) {
+	if (nonpreemptible && plan_take_around(s, now, j)) {
 		j->decision = (struct sched_decision){.why = SCHED_WHY_FREE, .at = now};
 		sched_begin(s, now, j);
 		return true;
 	}
-	j->decision.why = firm ? SCHED_WHY_UNSTOPPABLE : SCHED_WHY_BLOCKED;
+	j->decision.why = nonpreemptible ? SCHED_WHY_UNSTOPPABLE : SCHED_WHY_BLOCKED;
 	j->decision.considered = f.considered;
 	j->decision.largest_free = f.largest;
 	return false;
