--- a/packages/coordination/sched-res.c
+++ b/packages/coordination/sched-res.c
@@ -94,7 +94,7 @@
 
 /*
  * Returns what can be allocated to jobs that cannot be stopped: the capacity of a worker less
- * firm use and the share of unused guarantees; nothing if it is down.
+ * what cannot be reclaimed and the share of unused guarantees; nothing if it is down.
  */
 struct sched_res worker_firm_room(const struct sched_worker *w)
 {
