--- a/packages/coordination/sched.h
+++ b/packages/coordination/sched.h
@@ -18,6 +18,7 @@
 
 #define SCHED_MEMBERS_MAX 64
 
+/* The coordinator uses SCHED_POLICY_FULL; the others are baselines for the benchmark. */
 enum sched_policy {
 	SCHED_POLICY_FULL,
 	SCHED_POLICY_FIFO,
@@ -38,6 +39,7 @@
 	struct sched_res capacity;
 };
 
+/* SCHED_JOB_CLAIMING: waits for borrowers to stop; SCHED_JOB_PLACING: members are starting. */
 enum sched_job_state {
 	SCHED_JOB_QUEUED,
 	SCHED_JOB_CLAIMING,
@@ -47,7 +49,7 @@
 	SCHED_JOB_ENDED
 };
 
-/* Reason for which a job is being stopped. */
+/* Reason why a job is being stopped. */
 enum sched_stop_reason {
 	SCHED_STOP_NONE,
 	SCHED_STOP_PREEMPTED,
