--- a/packages/coordination/sched-private.h
+++ b/packages/coordination/sched-private.h
@@ -84,11 +84,6 @@
 	double mean_s;
 };
 
-/*
- * left: guaranteed accelerators on each worker that the organisation does not use. queue: its
- * queued jobs, urgent ones first, then in the order of arrival. class_jobs: its jobs that have
- * not ended, by class priority.
- */
 struct sched_org {
 	char *name;
 	bool present;
@@ -97,8 +92,11 @@
 	uint32_t guaranteed;
 	uint32_t running_accelerators;
 	uint32_t jobs;
+	/* Guaranteed accelerators on each worker that the organisation does not use. */
 	GArray *left;
+	/* Queued jobs, urgent ones first, then in the order of arrival. */
 	GTree *queue;
+	/* Number of jobs that have not ended, by class priority. */
 	GHashTable *class_jobs;
 };
 
