--- a/packages/coordination/coord-job.c
+++ b/packages/coordination/coord-job.c
@@ -12,7 +12,7 @@
 COUNTER(jobs_unknown, "damaskpath_jobs_unknown_total", "Jobs whose outcome is unknown.");
 
 /* Free a job. */
-void job_record_drop(void *p)
+void coord_job_free(void *p)
 {
 	struct coord_job *j = p;
 
@@ -56,7 +56,7 @@
 }
 
 /* Give a job to the core. */
-void job_submit_core(struct coord *c, int64_t now, struct coord_job *j)
+void job_submit_to_sched(struct coord *c, int64_t now, struct coord_job *j)
 {
 	struct sched_job *s;
 
@@ -163,7 +163,7 @@
 	gpointer value;
 	size_t sent = 0;
 
-	c->leaving = true;
+	c->handing_over = true;
 	sched_set_settling(c->sched, true);
 	g_hash_table_iter_init(&it, c->jobs);
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
@@ -192,7 +192,7 @@
 		submit_again(c, peer, j, m);
 		return;
 	}
-	if (c->leaving && !m->again) {
+	if (c->handing_over && !m->again) {
 		give_back(c, m->spec.id, peer);
 		return;
 	}
@@ -209,8 +209,8 @@
 	if (m->wait)
 		add_waiter(j, peer);
 	if (m->again && !m->spec.idempotent && m->last_term < c->term &&
-		!settle_all_accounted(c, &m->spec)) {
-		j->undecided = true;
+		!settle_all_agents_present(c, &m->spec)) {
+		j->may_have_started = true;
 		return;
 	}
 	if (j->spec.durable) {
@@ -218,7 +218,7 @@
 		job_mark_dirty(j);
 		return;
 	}
-	job_submit_core(c, now, j);
+	job_submit_to_sched(c, now, j);
 }
 
 /* Answer a request to cancel. */
@@ -260,7 +260,7 @@
 {
 	TAILQ_INSERT_TAIL(&c->ended, j, ended_entry);
 	c->ended_len++;
-	c->bodies += j->result.body.len + j->spec.payload.len;
+	c->ended_bytes += j->result.body.len + j->spec.payload.len;
 }
 
 /* A job has ended: tell all who wait, and remember it for a while. */
@@ -273,7 +273,7 @@
 		fields_copy(&job_result_fields, &j->result, r);
 	}
 	j->ended = true;
-	j->undecided = false;
+	j->may_have_started = false;
 	j->accepting = false;
 	j->ended_at = now;
 	j->ended_wall = coord_wall(c, now);
@@ -296,9 +296,9 @@
 	if (j->dirty || j->in_batch)
 		return false;
 	if (j->spec.durable)
-		return age > COORD_DURABLE_KEPT;
-	return age > COORD_ENDED_KEPT || c->ended_len > COORD_JOBS_KEPT ||
-	       c->bodies > COORD_BODIES_MAX;
+		return age > COORD_DURABLE_JOB_TTL_NS;
+	return age > COORD_ENDED_JOB_TTL_NS || c->ended_len > COORD_ENDED_JOBS_MAX ||
+	       c->ended_bytes > COORD_ENDED_BYTES_MAX;
 }
 
 /* Forget ended jobs that are old, or too many. */
@@ -311,9 +311,9 @@
 	for (j = TAILQ_FIRST(&c->ended); j != NULL && budget-- > 0; j = next) {
 		next = TAILQ_NEXT(j, ended_entry);
 		if (!may_forget(c, j, now)) {
-			if (now - j->ended_at < COORD_ENDED_KEPT &&
-				c->ended_len <= COORD_JOBS_KEPT &&
-				c->bodies <= COORD_BODIES_MAX)
+			if (now - j->ended_at < COORD_ENDED_JOB_TTL_NS &&
+				c->ended_len <= COORD_ENDED_JOBS_MAX &&
+				c->ended_bytes <= COORD_ENDED_BYTES_MAX)
 				return;
 			continue;
 		}
@@ -326,7 +326,7 @@
 			continue;
 		TAILQ_REMOVE(&c->ended, j, ended_entry);
 		c->ended_len--;
-		c->bodies -= MIN(c->bodies, j->result.body.len);
+		c->ended_bytes -= MIN(c->ended_bytes, j->result.body.len);
 		g_hash_table_remove(c->jobs, j->spec.id);
 	}
 }
@@ -397,14 +397,14 @@
 /* The record of a job is in the store as it was at a version. */
 static void record_written(struct coord *c, int64_t now, struct coord_job *j, uint64_t version)
 {
-	j->written = version;
+	j->written_version = version;
 	if (j->version == version)
 		j->dirty = false;
 	if (j->accepting) {
 		j->accepting = false;
 		for (guint i = 0; i < j->waiters->len; i++)
 			job_answer(c, j, g_array_index(j->waiters, peer_id, i));
-		job_submit_core(c, now, j);
+		job_submit_to_sched(c, now, j);
 	}
 	if (j->write_before_start && !j->dirty) {
 		j->write_before_start = false;
--- a/packages/coordination/coord-private.h
+++ b/packages/coordination/coord-private.h
@@ -3,31 +3,39 @@
 
 #include "coord.h"
 
-#define COORD_BEAT_MS	      1000
-#define COORD_LEASE_MS	      5000
-#define COORD_DEAD_AFTER      (10 * NSEC_PER_SEC)
-#define COORD_SUSPECT	      (3 * NSEC_PER_SEC)
-#define COORD_SETTLE	      (5 * NSEC_PER_SEC / 2)
-#define COORD_UNDECIDED	      (10 * NSEC_PER_SEC)
-#define COORD_RESERVE_TIME    (5 * NSEC_PER_SEC)
-#define COORD_JOBS_KEPT	      20000
-#define COORD_ENDED_KEPT      (900 * NSEC_PER_SEC)
-#define COORD_DURABLE_KEPT    (3600 * NSEC_PER_SEC)
-#define COORD_BODIES_MAX      (24u * 1024 * 1024)
-#define COORD_AUDIT_KEPT      500
-#define COORD_GONE_KEPT_MS    (15 * 60 * 1000)
-#define COORD_CLOCK_MARGIN_MS 500
-#define COORD_TERM_SHIFT      8
-
+/*
+ * Internals of the coordinator. "Settling" is the recovery phase after a takeover, in which the
+ * coordinator collects the inventories of the agents and places no jobs.
+ */
+
+#define COORD_BEAT_MS			 1000
+#define COORD_LEASE_MS			 5000
+#define COORD_DEAD_AFTER		 (10 * NSEC_PER_SEC)
+#define COORD_SUSPECT			 (3 * NSEC_PER_SEC)
+#define COORD_SETTLE_TIMEOUT_NS		 (5 * NSEC_PER_SEC / 2)
+#define COORD_UNKNOWN_OUTCOME_TIMEOUT_NS (10 * NSEC_PER_SEC)
+#define COORD_RESERVE_TIME		 (5 * NSEC_PER_SEC)
+#define COORD_ENDED_JOBS_MAX		 20000
+#define COORD_ENDED_JOB_TTL_NS		 (900 * NSEC_PER_SEC)
+#define COORD_DURABLE_JOB_TTL_NS	 (3600 * NSEC_PER_SEC)
+#define COORD_ENDED_BYTES_MAX		 (24u * 1024 * 1024)
+#define COORD_AUDIT_LINES_MAX		 500
+#define COORD_DEAD_INCARNATION_TTL_MS	 (15 * 60 * 1000)
+/* Tolerated difference between the wall clocks of two machines. */
+#define COORD_CLOCK_SKEW_MAX_MS 500
+/* A job that is retried in a new term gets attempt numbers from term << shift on. */
+#define COORD_ATTEMPT_TERM_SHIFT 8
+
+/* An agent, its connection and the worker that it manages. */
 struct coord_agent {
 	char *name;
 	char *addr;
 	uint64_t incarnation;
 	peer_id peer;
-	uint32_t worker;
+	uint32_t worker; /* handle in the scheduler, valid if has_worker */
 	bool has_worker;
 	bool reported;
-	bool inventory;
+	bool inventory; /* has sent its inventory on this connection */
 	bool serving;
 	bool dead;
 	bool suspected;
@@ -38,21 +46,23 @@
 	struct msg_report report;
 };
 
+/* A member of the current attempt of a job, as far as its agent was told and has answered. */
 struct coord_member {
 	struct coord_agent *agent;
 	uint64_t incarnation;
-	bool sent;
-	bool reserved;
-	bool told;
+	bool sent;     /* the reservation was sent */
+	bool reserved; /* the agent confirmed the reservation */
+	bool told;     /* may have been told to start */
 	bool ended;
 };
 
+/* A job from its submission until it is dropped from memory. */
 struct coord_job {
 	struct job_spec spec;
 	job_ref ref;
-	bool in_core;
-	bool accepting;
-	bool undecided;
+	bool in_core;	       /* known to the scheduler */
+	bool accepting;	       /* not accepted until its record is written */
+	bool may_have_started; /* an earlier term may have started it */
 	bool dispatched;
 	bool started;
 	bool ended;
@@ -60,9 +70,9 @@
 	uint32_t size;
 	struct coord_member members[SCHED_MEMBERS_MAX];
 	int64_t reserve_by;
-	bool write_before_start;
-	GArray *waiters;
-	GArray *acks;
+	bool write_before_start; /* dispatched only once its record is written */
+	GArray *waiters;	 /* peer_id of entries that wait for the result */
+	GArray *acks;		 /* struct coord_ack, sent once the record is written */
 	struct job_result result;
 	struct bytes checkpoint;
 	char *explained;
@@ -70,30 +80,30 @@
 	int64_t ended_wall;
 	int64_t submitted_at;
 	uint32_t record_attempt;
-	char *placed;
-	bool dirty;
-	bool in_batch;
-	bool remove;
+	char *placed;  /* agents of the attempt: "NAME/INCARNATION,..." */
+	bool dirty;    /* the stored record is out of date */
+	bool in_batch; /* in a batch that is being written */
+	bool remove;   /* the record is to be deleted */
 	uint64_t version;
-	uint64_t written;
+	uint64_t written_version;
 	TAILQ_ENTRY(coord_job) ended_entry;
 };
 
-/* An agent that waits for the acknowledgement of an end. */
+/* An agent that waits for the acknowledgement of a MSG_ENDED. */
 struct coord_ack {
 	peer_id peer;
 	uint32_t attempt;
 };
 
-/* An incarnation of an agent that is no more; wall time in milliseconds. */
-struct coord_gone {
+/* An incarnation of an agent that has died or restarted, and when. */
+struct dead_incarnation {
 	char *name;
 	uint64_t incarnation;
 	int64_t wall_ms;
 };
 
-/* A member that an agent reported while the coordinator settles. */
-struct coord_found {
+/* A member listed in an agent's inventory that has not been matched to a job yet. */
+struct reported_member {
 	struct coord_agent *agent;
 	struct member_record record;
 };
@@ -103,28 +113,28 @@
 	struct coord_ports ports;
 	struct sched *sched;
 	uint64_t term;
-	int64_t began;
-	int64_t wall;
-	int64_t now_at_wall;
+	int64_t term_started_at;
+	int64_t wall;		 /* wall time at wall_sampled_at */
+	int64_t wall_sampled_at; /* monotonic */
 	bool settled;
-	bool leaving;
+	bool handing_over; /* a planned stop has begun */
 	bool store_up;
 	uint64_t config_number;
-	int64_t grace;
-	GHashTable *agents;
-	GHashTable *jobs;
-	GHashTable *entries;
-	GHashTable *old_roster;
-	GHashTable *saved_roster;
-	GPtrArray *found;
-	GPtrArray *gone;
-	char *last_saved;
-	TAILQ_HEAD(, coord_job) ended;
+	int64_t grace;		     /* time a job gets to stop, nanoseconds */
+	GHashTable *agents;	     /* name -> struct coord_agent */
+	GHashTable *jobs;	     /* id -> struct coord_job */
+	GHashTable *entries;	     /* set of peer_id */
+	GHashTable *previous_roster; /* name -> incarnation, from the previous term */
+	GHashTable *saved_roster;    /* name -> incarnation, as stored last */
+	GPtrArray *reported_members;
+	GPtrArray *dead_incarnations;
+	char *saved_roster_text;
+	TAILQ_HEAD(, coord_job) ended; /* oldest first */
 	uint32_t ended_len;
-	uint64_t bodies;
+	uint64_t ended_bytes; /* size of the results in ended */
 	int64_t last_summary;
 	int64_t last_config;
-	GQueue audit;
+	GQueue audit; /* JSON lines, oldest first */
 };
 
 /* coord.c */
@@ -147,10 +157,10 @@
 bool agent_same(struct coord *c, const char *name, uint64_t incarnation);
 
 /* coord-job.c */
-void job_record_drop(void *p);
+void coord_job_free(void *p);
 struct coord_job *job_find(struct coord *c, const char *id);
 struct coord_job *job_add(struct coord *c, int64_t now, const struct job_spec *spec);
-void job_submit_core(struct coord *c, int64_t now, struct coord_job *j);
+void job_submit_to_sched(struct coord *c, int64_t now, struct coord_job *j);
 void job_submit(struct coord *c, int64_t now, peer_id peer, const struct msg_submit *m);
 void job_cancel(struct coord *c, int64_t now, peer_id peer, const struct msg_cancel *m);
 bool job_is_told(const struct coord_job *j);
@@ -173,13 +183,13 @@
 	struct coord *c, peer_id peer, const char *job, uint32_t attempt, enum stop_mode mode);
 
 /* coord-settle.c */
-void found_free(void *p);
+void reported_member_free(void *p);
 void settle_forget(struct coord *c, const struct coord_agent *a);
 bool settle_ended(struct coord *c, const struct coord_agent *a, const struct msg_ended *m);
 void settle_found(struct coord *c, struct coord_agent *a, const struct msg_inventory *inv);
 void settle_sweep(struct coord *c, int64_t now);
-void settle_load(struct coord *c, int64_t now, GPtrArray *records);
-bool settle_all_accounted(struct coord *c, const struct job_spec *spec);
+void settle_load_records(struct coord *c, int64_t now, GPtrArray *records);
+bool settle_all_agents_present(struct coord *c, const struct job_spec *spec);
 
 /* coord-query.c */
 void query_answer(struct coord *c, int64_t now, peer_id peer, const struct msg_query *q);
--- a/packages/coordination/coord-settle.c
+++ b/packages/coordination/coord-settle.c
@@ -14,10 +14,10 @@
 /* Whether an incarnation that could have been told to start a job has gone since it came. */
 static bool lost_witness(const struct coord *c, const struct job_spec *spec)
 {
-	for (guint i = 0; i < c->gone->len; i++) {
-		const struct coord_gone *g = c->gone->pdata[i];
+	for (guint i = 0; i < c->dead_incarnations->len; i++) {
+		const struct dead_incarnation *g = c->dead_incarnations->pdata[i];
 
-		if (g->wall_ms + COORD_CLOCK_MARGIN_MS >= spec->submitted_wall_ms)
+		if (g->wall_ms + COORD_CLOCK_SKEW_MAX_MS >= spec->submitted_wall_ms)
 			return true;
 	}
 	return false;
@@ -27,13 +27,13 @@
  * Whether every agent that an earlier term could have told to start a job is here, and none
  * that was here since the job came has restarted or died.
  */
-bool settle_all_accounted(struct coord *c, const struct job_spec *spec)
+bool settle_all_agents_present(struct coord *c, const struct job_spec *spec)
 {
 	GHashTableIter it;
 	gpointer key;
 	gpointer value;
 
-	g_hash_table_iter_init(&it, c->old_roster);
+	g_hash_table_iter_init(&it, c->previous_roster);
 	while (g_hash_table_iter_next(&it, &key, &value)) {
 		if (!agent_same(c, key, *(uint64_t *)value))
 			return false;
@@ -91,9 +91,9 @@
 }
 
 /* Free a member that was found. */
-void found_free(void *p)
+void reported_member_free(void *p)
 {
-	struct coord_found *f = p;
+	struct reported_member *f = p;
 
 	fields_clear(&member_record_fields, &f->record);
 	free(f);
@@ -102,19 +102,19 @@
 /* Remember a member for the end of settling. */
 static void keep_found(struct coord *c, struct coord_agent *a, const struct member_record *r)
 {
-	struct coord_found *f = xcalloc(1, sizeof(*f));
+	struct reported_member *f = xcalloc(1, sizeof(*f));
 
 	f->agent = a;
 	fields_copy(&member_record_fields, &f->record, r);
-	g_ptr_array_add(c->found, f);
+	g_ptr_array_add(c->reported_members, f);
 }
 
 /* Forget what an agent listed: it has restarted, or lists anew. */
 void settle_forget(struct coord *c, const struct coord_agent *a)
 {
-	for (guint i = c->found->len; i-- > 0;) {
-		if (((struct coord_found *)c->found->pdata[i])->agent == a)
-			g_ptr_array_remove_index(c->found, i);
+	for (guint i = c->reported_members->len; i-- > 0;) {
+		if (((struct reported_member *)c->reported_members->pdata[i])->agent == a)
+			g_ptr_array_remove_index(c->reported_members, i);
 	}
 }
 
@@ -124,8 +124,8 @@
  */
 bool settle_ended(struct coord *c, const struct coord_agent *a, const struct msg_ended *m)
 {
-	for (guint i = 0; i < c->found->len; i++) {
-		struct coord_found *f = c->found->pdata[i];
+	for (guint i = 0; i < c->reported_members->len; i++) {
+		struct reported_member *f = c->reported_members->pdata[i];
 
 		if (f->agent != a || strcmp(f->record.spec.id, m->job) != 0 ||
 			f->record.attempt != m->attempt || f->record.member != m->member)
@@ -150,7 +150,7 @@
 		if (r->spec.id == NULL || r->spec.org == NULL)
 			continue;
 		if (j != NULL && (j->in_core || j->ended))
-			reconcile(c, c->now_at_wall, a, j, r);
+			reconcile(c, c->wall_sampled_at, a, j, r);
 		else
 			keep_found(c, a, r);
 	}
@@ -162,14 +162,14 @@
 	GPtrArray *group = g_ptr_array_new();
 	uint32_t newest = 0;
 
-	for (guint i = 0; i < c->found->len; i++) {
-		struct coord_found *f = c->found->pdata[i];
+	for (guint i = 0; i < c->reported_members->len; i++) {
+		struct reported_member *f = c->reported_members->pdata[i];
 
 		if (strcmp(f->record.spec.id, id) == 0)
 			newest = MAX(newest, f->record.attempt);
 	}
-	for (guint i = 0; i < c->found->len; i++) {
-		struct coord_found *f = c->found->pdata[i];
+	for (guint i = 0; i < c->reported_members->len; i++) {
+		struct reported_member *f = c->reported_members->pdata[i];
 
 		if (strcmp(f->record.spec.id, id) != 0)
 			continue;
@@ -185,7 +185,7 @@
 static bool none_started(const GPtrArray *group)
 {
 	for (guint i = 0; i < group->len; i++) {
-		const struct coord_found *f = group->pdata[i];
+		const struct reported_member *f = group->pdata[i];
 		bool never = f->record.state == MEMBER_ENDED &&
 			     f->record.end == MEMBER_END_NEVER_STARTED;
 
@@ -198,14 +198,14 @@
 /* Whether all members of a gang were found; one that was not may have started. */
 static bool is_whole(const GPtrArray *group)
 {
-	return group->len == ((struct coord_found *)group->pdata[0])->record.size;
+	return group->len == ((struct reported_member *)group->pdata[0])->record.size;
 }
 
 /* Send the ends of a group through the ordinary path. */
 static void replay_ends(struct coord *c, int64_t now, const GPtrArray *group)
 {
 	for (guint i = 0; i < group->len; i++) {
-		struct coord_found *f = group->pdata[i];
+		struct reported_member *f = group->pdata[i];
 
 		if (f->record.state == MEMBER_ENDED)
 			replay_end(c, now, f->agent, &f->record);
@@ -216,7 +216,7 @@
 static void release_group(struct coord *c, const GPtrArray *group)
 {
 	for (guint i = 0; i < group->len; i++) {
-		const struct coord_found *f = group->pdata[i];
+		const struct reported_member *f = group->pdata[i];
 
 		run_send_stop(
 			c, f->agent->peer, f->record.spec.id, f->record.attempt, STOP_RELEASE);
@@ -227,7 +227,7 @@
 static void finish_start(struct coord *c, struct coord_job *j, const GPtrArray *group)
 {
 	for (guint i = 0; i < group->len; i++) {
-		const struct coord_found *f = group->pdata[i];
+		const struct reported_member *f = group->pdata[i];
 		struct msg m = {.kind = MSG_START,
 			.start = {.term = c->term, .job = j->spec.id, .attempt = j->attempt}};
 
@@ -240,13 +240,13 @@
 static void adopt_group(struct coord *c, int64_t now, struct coord_job *j, GPtrArray *group)
 {
 	struct sched_member members[SCHED_MEMBERS_MAX] = {0};
-	const struct coord_found *first = group->pdata[0];
+	const struct reported_member *first = group->pdata[0];
 	uint32_t len = MIN(group->len, (guint)SCHED_MEMBERS_MAX);
 	bool whole = is_whole(group);
 	int64_t running = 0;
 
 	for (uint32_t i = 0; i < len; i++) {
-		const struct coord_found *f = group->pdata[i];
+		const struct reported_member *f = group->pdata[i];
 
 		members[i].worker = f->agent->worker;
 		members[i].accelerators = f->record.accelerators;
@@ -263,7 +263,7 @@
 	j->dispatched = true;
 	j->started = true;
 	j->in_core = true;
-	j->undecided = false;
+	j->may_have_started = false;
 	j->ref = sched_adopt(c->sched, now, &j->spec, j, j->attempt, members, len, running);
 	sched_job(c->sched, j->ref)->attempt_floor = coord_attempt_floor(c);
 	log_info("coord", "A running job was taken over%s. job=%s attempt=%u term=%" PRIu64,
@@ -278,7 +278,7 @@
 static bool has_workers(const GPtrArray *group)
 {
 	for (guint i = 0; i < group->len; i++) {
-		if (!((struct coord_found *)group->pdata[i])->agent->has_worker)
+		if (!((struct reported_member *)group->pdata[i])->agent->has_worker)
 			return false;
 	}
 	return true;
@@ -296,7 +296,7 @@
 static bool all_ended(const GPtrArray *group)
 {
 	for (guint i = 0; i < group->len; i++) {
-		if (((struct coord_found *)group->pdata[i])->record.state != MEMBER_ENDED)
+		if (((struct reported_member *)group->pdata[i])->record.state != MEMBER_ENDED)
 			return false;
 	}
 	return true;
@@ -309,7 +309,7 @@
  */
 static bool is_leftover(struct coord *c, const GPtrArray *group)
 {
-	const struct job_spec *spec = &((struct coord_found *)group->pdata[0])->record.spec;
+	const struct job_spec *spec = &((struct reported_member *)group->pdata[0])->record.spec;
 
 	if (is_wanted(c, spec))
 		return false;
@@ -327,7 +327,7 @@
 /* Decide on one job that was found. */
 static void settle_group(struct coord *c, int64_t now, GPtrArray *group)
 {
-	struct coord_found *first = group->pdata[0];
+	struct reported_member *first = group->pdata[0];
 	struct coord_job *j = job_find(c, first->record.spec.id);
 
 	if (is_leftover(c, group)) {
@@ -339,15 +339,15 @@
 	j->record_attempt = MAX(j->record_attempt, first->record.attempt);
 	if (j->in_core || j->ended) {
 		for (guint i = 0; i < group->len; i++) {
-			struct coord_found *f = group->pdata[i];
+			struct reported_member *f = group->pdata[i];
 
 			reconcile(c, now, f->agent, j, &f->record);
 		}
 	} else if (none_started(group)) {
 		release_group(c, group);
-		j->undecided = !is_whole(group) && !j->spec.idempotent;
-		if (!j->undecided)
-			job_submit_core(c, now, j);
+		j->may_have_started = !is_whole(group) && !j->spec.idempotent;
+		if (!j->may_have_started)
+			job_submit_to_sched(c, now, j);
 	} else if (has_workers(group)) {
 		adopt_group(c, now, j, group);
 	} else {
@@ -358,24 +358,24 @@
 /* Go through what was found, job by job. */
 static void settle_groups(struct coord *c, int64_t now)
 {
-	while (c->found->len > 0) {
-		struct coord_found *first = c->found->pdata[0];
+	while (c->reported_members->len > 0) {
+		struct reported_member *first = c->reported_members->pdata[0];
 		AUTOFREE char *id = xstrdup(first->record.spec.id);
 		GPtrArray *group = group_of(c, id);
 
 		settle_group(c, now, group);
 		g_ptr_array_unref(group);
-		for (guint i = c->found->len; i-- > 0;) {
-			const struct coord_found *f = c->found->pdata[i];
+		for (guint i = c->reported_members->len; i-- > 0;) {
+			const struct reported_member *f = c->reported_members->pdata[i];
 
 			if (strcmp(f->record.spec.id, id) == 0)
-				g_ptr_array_remove_index(c->found, i);
+				g_ptr_array_remove_index(c->reported_members, i);
 		}
 	}
 }
 
 /* Take in the records that the coordinator before us left. */
-void settle_load(struct coord *c, int64_t now, GPtrArray *records)
+void settle_load_records(struct coord *c, int64_t now, GPtrArray *records)
 {
 	for (guint i = 0; records != NULL && i < records->len; i++) {
 		const struct job_record *r = records->pdata[i];
@@ -384,7 +384,7 @@
 		j->record_attempt = r->attempt;
 		j->placed = xstrdup(r->placed);
 		if (r->result.outcome == OUTCOME_NONE) {
-			j->undecided = true;
+			j->may_have_started = true;
 			continue;
 		}
 		job_end(c, now, j, &r->result);
@@ -399,20 +399,20 @@
 		return true;
 	if (j->spec.durable)
 		return j->record_attempt == 0 || never_started(c, j->placed);
-	return settle_all_accounted(c, &j->spec);
+	return settle_all_agents_present(c, &j->spec);
 }
 
 /* Decide on the jobs that nobody runs as far as we can see. */
-static void settle_undecided(struct coord *c, int64_t now)
+static void settle_uncertain_jobs(struct coord *c, int64_t now)
 {
 	g_autoptr(GPtrArray) open = g_ptr_array_new();
-	bool late = now - c->began > COORD_UNDECIDED;
+	bool late = now - c->term_started_at > COORD_UNKNOWN_OUTCOME_TIMEOUT_NS;
 	GHashTableIter it;
 	gpointer value;
 
 	g_hash_table_iter_init(&it, c->jobs);
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
-		if (((struct coord_job *)value)->undecided)
+		if (((struct coord_job *)value)->may_have_started)
 			g_ptr_array_add(open, value);
 	}
 	for (guint i = 0; i < open->len; i++) {
@@ -422,10 +422,10 @@
 			.detail = "a worker that may have run the job is gone"};
 
 		if (may_run(c, j)) {
-			j->undecided = false;
+			j->may_have_started = false;
 			j->record_attempt = MAX(j->record_attempt, coord_attempt_floor(c));
-			job_submit_core(c, now, j);
-		} else if (late && now - j->submitted_at > COORD_SETTLE) {
+			job_submit_to_sched(c, now, j);
+		} else if (late && now - j->submitted_at > COORD_SETTLE_TIMEOUT_NS) {
 			job_end(c, now, j, &lost);
 		}
 	}
@@ -437,7 +437,7 @@
 	GHashTableIter it;
 	gpointer key;
 
-	g_hash_table_iter_init(&it, c->old_roster);
+	g_hash_table_iter_init(&it, c->previous_roster);
 	while (g_hash_table_iter_next(&it, &key, NULL)) {
 		const struct coord_agent *a = g_hash_table_lookup(c->agents, key);
 
@@ -452,8 +452,9 @@
 {
 	if (c->term == 0)
 		return;
-	if (!c->settled && (now - c->began > COORD_SETTLE ||
-				   (g_hash_table_size(c->old_roster) > 0 && all_heard(c)))) {
+	if (!c->settled &&
+		(now - c->term_started_at > COORD_SETTLE_TIMEOUT_NS ||
+			(g_hash_table_size(c->previous_roster) > 0 && all_heard(c)))) {
 		c->settled = true;
 		settle_groups(c, now);
 		sched_set_settling(c->sched, false);
@@ -463,5 +464,5 @@
 	if (!c->settled)
 		return;
 	settle_groups(c, now);
-	settle_undecided(c, now);
+	settle_uncertain_jobs(c, now);
 }
--- a/packages/coordination/coord.c
+++ b/packages/coordination/coord.c
@@ -11,9 +11,9 @@
 GAUGE(running_gauge, "damaskpath_jobs_placed", "Jobs placed in this cell.");
 
 /* Free the note of an incarnation that is no more. */
-static void gone_free(void *p)
+static void dead_incarnation_free(void *p)
 {
-	struct coord_gone *g = p;
+	struct dead_incarnation *g = p;
 
 	free(g->name);
 	free(g);
@@ -28,12 +28,12 @@
 	c->ports = *ports;
 	c->sched = sched_new(SCHED_POLICY_FULL, random_u64());
 	c->agents = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, agent_record_free);
-	c->jobs = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, job_record_drop);
+	c->jobs = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, coord_job_free);
 	c->entries = g_hash_table_new_full(g_int64_hash, g_int64_equal, free, NULL);
-	c->old_roster = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free);
+	c->previous_roster = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free);
 	c->saved_roster = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free);
-	c->found = g_ptr_array_new_with_free_func(found_free);
-	c->gone = g_ptr_array_new_with_free_func(gone_free);
+	c->reported_members = g_ptr_array_new_with_free_func(reported_member_free);
+	c->dead_incarnations = g_ptr_array_new_with_free_func(dead_incarnation_free);
 	c->grace = 5 * NSEC_PER_SEC;
 	c->store_up = true;
 	TAILQ_INIT(&c->ended);
@@ -49,56 +49,58 @@
 	if (c == NULL)
 		return;
 	counter_set(&term_gauge, 0);
-	g_ptr_array_unref(c->found);
-	g_ptr_array_unref(c->gone);
+	g_ptr_array_unref(c->reported_members);
+	g_ptr_array_unref(c->dead_incarnations);
 	g_hash_table_destroy(c->jobs);
 	g_hash_table_destroy(c->agents);
 	g_hash_table_destroy(c->entries);
-	g_hash_table_destroy(c->old_roster);
+	g_hash_table_destroy(c->previous_roster);
 	g_hash_table_destroy(c->saved_roster);
 	sched_free(c->sched);
 	while ((line = g_queue_pop_head(&c->audit)) != NULL)
 		free(line);
-	free(c->last_saved);
+	free(c->saved_roster_text);
 	free(c->cell);
 	free(c);
 }
 
 /* Remember an incarnation that is no more. */
-static void add_gone(struct coord *c, const char *name, uint64_t incarnation, int64_t wall_ms)
+static void add_dead_incarnation(
+	struct coord *c, const char *name, uint64_t incarnation, int64_t wall_ms)
 {
-	struct coord_gone *g = xcalloc(1, sizeof(*g));
+	struct dead_incarnation *g = xcalloc(1, sizeof(*g));
 
 	g->name = xstrdup(name);
 	g->incarnation = incarnation;
 	g->wall_ms = wall_ms;
-	g_ptr_array_add(c->gone, g);
+	g_ptr_array_add(c->dead_incarnations, g);
 }
 
 /* An agent introduced itself for the first time in this term: its old incarnation is no more.
  */
 void coord_note_replaced(struct coord *c, int64_t now, const char *name, uint64_t incarnation)
 {
-	const uint64_t *old = g_hash_table_lookup(c->old_roster, name);
+	const uint64_t *old = g_hash_table_lookup(c->previous_roster, name);
 
 	if (old != NULL && *old != incarnation)
-		add_gone(c, name, *old, coord_wall(c, now) / NSEC_PER_MSEC);
+		add_dead_incarnation(c, name, *old, coord_wall(c, now) / NSEC_PER_MSEC);
 }
 
 /* Agents of the term before that have not come in all the time: they are no more. */
-static void give_up_missing(struct coord *c, int64_t now)
+static void declare_missing_agents_dead(struct coord *c, int64_t now)
 {
 	GHashTableIter it;
 	gpointer key;
 	gpointer value;
 
-	if (now - c->began < COORD_DEAD_AFTER)
+	if (now - c->term_started_at < COORD_DEAD_AFTER)
 		return;
-	g_hash_table_iter_init(&it, c->old_roster);
+	g_hash_table_iter_init(&it, c->previous_roster);
 	while (g_hash_table_iter_next(&it, &key, &value)) {
 		if (g_hash_table_contains(c->agents, key))
 			continue;
-		add_gone(c, key, *(uint64_t *)value, coord_wall(c, now) / NSEC_PER_MSEC);
+		add_dead_incarnation(
+			c, key, *(uint64_t *)value, coord_wall(c, now) / NSEC_PER_MSEC);
 		g_hash_table_iter_remove(&it);
 	}
 }
@@ -106,7 +108,7 @@
 /* An agent died or restarted: what its old incarnation ran, nobody can tell any more. */
 void coord_note_gone(struct coord *c, int64_t now, const struct coord_agent *a)
 {
-	add_gone(c, a->name, a->incarnation, coord_wall(c, now) / NSEC_PER_MSEC);
+	add_dead_incarnation(c, a->name, a->incarnation, coord_wall(c, now) / NSEC_PER_MSEC);
 }
 
 /*
@@ -126,7 +128,7 @@
 			continue;
 		*slash = '\0';
 		if (gone && c != NULL) {
-			add_gone(c, parts[i] + 1, strtoull(slash + 1, NULL, 16),
+			add_dead_incarnation(c, parts[i] + 1, strtoull(slash + 1, NULL, 16),
 				strtoll(strchr(slash + 1, '@') + 1, NULL, 10));
 		} else if (!gone) {
 			incarnation = xmalloc(sizeof(*incarnation));
@@ -141,17 +143,17 @@
 	GPtrArray *records, const struct doc *doc)
 {
 	c->term = term;
-	c->began = now;
+	c->term_started_at = now;
 	c->wall = wall;
-	c->now_at_wall = now;
+	c->wall_sampled_at = now;
 	counter_set(&term_gauge, term);
-	parse_roster(c->old_roster, c, roster);
+	parse_roster(c->previous_roster, c, roster);
 	sched_set_settling(c->sched, true);
 	if (doc != NULL)
 		coord_set_doc(c, now, doc);
-	settle_load(c, now, records);
+	settle_load_records(c, now, records);
 	log_info("coord", "The term is ours; %u agents are expected. cell=%s term=%" PRIu64,
-		g_hash_table_size(c->old_roster), c->cell, term);
+		g_hash_table_size(c->previous_roster), c->cell, term);
 }
 
 /*
@@ -160,7 +162,7 @@
  */
 uint32_t coord_attempt_floor(const struct coord *c)
 {
-	return (uint32_t)c->term << COORD_TERM_SHIFT;
+	return (uint32_t)c->term << COORD_ATTEMPT_TERM_SHIFT;
 }
 
 /* The coordinator's term. */
@@ -217,7 +219,7 @@
 /* Wall time of a monotonic one. */
 int64_t coord_wall(const struct coord *c, int64_t now)
 {
-	return c->wall + now - c->now_at_wall;
+	return c->wall + now - c->wall_sampled_at;
 }
 
 /* Send a message; false where the peer is gone. */
@@ -237,7 +239,7 @@
 
 	g_queue_push_tail(&c->audit, json_dumps(o, JSON_COMPACT));
 	json_decref(o);
-	if (c->audit.length > COORD_AUDIT_KEPT)
+	if (c->audit.length > COORD_AUDIT_LINES_MAX)
 		free(g_queue_pop_head(&c->audit));
 }
 
@@ -250,7 +252,7 @@
 	c->grace = doc->grace;
 	sched_set_doc(c->sched, now, doc, c->cell);
 	if (c->settled)
-		coord_run(c, now);
+		coord_schedule(c, now);
 }
 
 /* Welcome an entry. */
@@ -336,20 +338,21 @@
 }
 
 /* Decide and act. */
-void coord_run(struct coord *c, int64_t now)
+void coord_schedule(struct coord *c, int64_t now)
 {
 	sched_run(c->sched, now);
 	run_actions(c, now);
 }
 
 /* Forget the incarnations that went long ago. */
-static void trim_gone(struct coord *c)
+static void expire_dead_incarnations(struct coord *c)
 {
-	int64_t oldest = c->wall / NSEC_PER_MSEC - COORD_GONE_KEPT_MS;
+	int64_t oldest = c->wall / NSEC_PER_MSEC - COORD_DEAD_INCARNATION_TTL_MS;
 
-	for (guint i = c->gone->len; i-- > 0;) {
-		if (((struct coord_gone *)c->gone->pdata[i])->wall_ms < oldest)
-			g_ptr_array_remove_index(c->gone, i);
+	for (guint i = c->dead_incarnations->len; i-- > 0;) {
+		if (((struct dead_incarnation *)c->dead_incarnations->pdata[i])->wall_ms <
+			oldest)
+			g_ptr_array_remove_index(c->dead_incarnations, i);
 	}
 }
 
@@ -357,14 +360,14 @@
 void coord_tick(struct coord *c, int64_t now, int64_t wall)
 {
 	c->wall = wall;
-	c->now_at_wall = now;
+	c->wall_sampled_at = now;
 	settle_sweep(c, now);
 	agent_sweep(c, now);
 	run_sweep(c, now);
 	job_expire(c, now);
-	give_up_missing(c, now);
-	trim_gone(c);
-	coord_run(c, now);
+	declare_missing_agents_dead(c, now);
+	expire_dead_incarnations(c);
+	coord_schedule(c, now);
 	if (now - c->last_summary >= SUMMARY_PERIOD)
 		send_summary(c, now);
 }
@@ -394,14 +397,14 @@
 			g_ptr_array_add(
 				names, g_strdup_printf("%s/%" PRIx64, a->name, a->incarnation));
 	}
-	g_hash_table_iter_init(&it, c->old_roster);
+	g_hash_table_iter_init(&it, c->previous_roster);
 	while (g_hash_table_iter_next(&it, &key, &value)) {
 		if (!g_hash_table_contains(c->agents, key))
 			g_ptr_array_add(names, g_strdup_printf("%s/%" PRIx64, (char *)key,
 						       *(uint64_t *)value));
 	}
-	for (guint i = 0; i < c->gone->len; i++) {
-		const struct coord_gone *g = c->gone->pdata[i];
+	for (guint i = 0; i < c->dead_incarnations->len; i++) {
+		const struct dead_incarnation *g = c->dead_incarnations->pdata[i];
 
 		g_ptr_array_add(names, g_strdup_printf("-%s/%" PRIx64 "@%" PRId64, g->name,
 					       g->incarnation, g->wall_ms));
@@ -417,7 +420,7 @@
 {
 	g_autofree char *now = coord_roster(c);
 
-	return c->settled && g_strcmp0(now, c->last_saved) != 0;
+	return c->settled && g_strcmp0(now, c->saved_roster_text) != 0;
 }
 
 /* The roster has been saved: its workers may get any job. */
@@ -426,8 +429,8 @@
 	GHashTableIter it;
 	gpointer value;
 
-	free(c->last_saved);
-	c->last_saved = xstrdup(roster);
+	free(c->saved_roster_text);
+	c->saved_roster_text = xstrdup(roster);
 	g_hash_table_remove_all(c->saved_roster);
 	parse_roster(c->saved_roster, NULL, roster);
 	g_hash_table_iter_init(&it, c->agents);
--- a/packages/coordination/coord.h
+++ b/packages/coordination/coord.h
@@ -27,7 +27,7 @@
 void coord_message(struct coord *c, int64_t now, peer_id peer, const struct msg *m);
 void coord_closed(struct coord *c, int64_t now, peer_id peer);
 void coord_tick(struct coord *c, int64_t now, int64_t wall);
-void coord_run(struct coord *c, int64_t now);
+void coord_schedule(struct coord *c, int64_t now);
 size_t coord_return_waiting(struct coord *c);
 bool coord_has_successor(struct coord *c, const char *self);
 size_t coord_open_jobs(const struct coord *c);
