--- a/packages/coordination/coord.h
+++ b/packages/coordination/coord.h
@@ -4,13 +4,15 @@
 #include "sched.h"
 
 /*
- * The coordinator of one cell: turns the decisions of the core into messages to the agents,
- * keeps what callers wait for, and rebuilds both from the agents and the store at takeover.
- * It does no input or output of its own: messages go through the ports, records for the store
- * are taken by the owner.
+ * The coordinator of one cell. It turns the scheduler's decisions into messages to the agents
+ * and keeps the jobs and results that callers wait for; at a takeover it rebuilds both from the
+ * agents' inventories and the store. It does no I/O of its own: messages go out through
+ * coord_ports, and the owner fetches the records to write with coord_take_batch.
  */
 
+/* Callbacks to the transport. */
 struct coord_ports {
+	/* Returns false if the peer is not connected. */
 	bool (*send)(void *arg, peer_id peer, const struct msg *m);
 	void (*close)(void *arg, peer_id peer);
 	void *arg;
@@ -32,7 +34,7 @@
 bool coord_has_successor(struct coord *c, const char *self);
 size_t coord_open_jobs(const struct coord *c);
 
-/* Job records that wait to be written; the owner writes them and reports. */
+/* Job records to write. The owner writes them and then calls coord_batch_done. */
 struct coord_batch {
 	struct job_write *writes;
 	char **ids;
@@ -43,13 +45,16 @@
 void coord_batch_done(struct coord *c, int64_t now, const struct coord_batch *b, bool written);
 void coord_batch_clear(struct coord_batch *b);
 
-/* The roster that has to be saved before its workers get jobs that must not run twice. */
+/*
+ * The roster of agents. An agent's worker gets jobs that are not idempotent only once the owner
+ * has stored a roster that lists the agent.
+ */
 char *coord_roster(const struct coord *c);
 bool coord_roster_changed(const struct coord *c);
 void coord_roster_saved(struct coord *c, const char *roster);
 void coord_store_state(struct coord *c, int64_t now, bool up);
 
-/* For tests and the node's own counters. */
+/* For tests and counters. */
 struct sched *coord_sched(struct coord *c);
 bool coord_settled(const struct coord *c);
 
