--- a/packages/coordination/agent-core.h
+++ b/packages/coordination/agent-core.h
@@ -4,19 +4,24 @@
 #include "protocol.h"
 
 /*
- * The authority for what runs on one worker. It reads no clock and does no input or output:
- * messages, upstream results and the time come in, and calls go out through the ports.
+ * The agent's state machine, which decides what runs on one worker. It reads no clock and does
+ * no I/O: messages, upstream results and the time are passed in, and calls go out through
+ * agent_ports. Times are monotonic nanoseconds.
  */
 
+/* A reservation that is not started within this time ends. */
 #define AGENT_RESERVE_LEASE (10 * NSEC_PER_SEC)
 #define AGENT_GANG_BEAT	    NSEC_PER_SEC
-#define AGENT_GANG_LEASE    (5 * NSEC_PER_SEC)
-#define AGENT_ENDED_KEPT    (60 * NSEC_PER_SEC)
+/* A gang member that hears no heartbeat for this long stops. */
+#define AGENT_GANG_LEASE (5 * NSEC_PER_SEC)
+/* How long a member is kept after its end was acknowledged. */
+#define AGENT_ENDED_KEPT (60 * NSEC_PER_SEC)
 
+/* The upstream as it announced itself last. */
 struct agent_upstream {
-	bool known;
-	bool leaving;
-	int64_t expires;
+	bool known;	 /* has announced itself at least once */
+	bool leaving;	 /* takes no new work */
+	int64_t expires; /* when the announcement lapses */
 	char *addr;
 	char *worker;
 	char *rack;
@@ -29,26 +34,28 @@
 	uint32_t usage_percent;
 };
 
+/* A member of a job that is reserved, running, stopping or ended on this worker. */
 struct agent_member {
 	struct member_record record;
 	int64_t reserved_until;
 	int64_t started_at;
 	int64_t ended_at;
-	int64_t stop_by;
-	bool acked;
-	bool stop_sent;
-	bool never_started;
-	int64_t gang_heard;
-	int64_t *gang_seen;
+	int64_t stop_by;    /* when the task is stopped again, with STOP_NOW */
+	bool acked;	    /* the coordinator has acknowledged the end */
+	bool stop_sent;	    /* the task was asked to stop, not just to checkpoint */
+	bool never_started; /* ended while still reserved */
+	int64_t gang_heard; /* last reply of member 0 */
+	int64_t *gang_seen; /* member 0 only: last heartbeat of each, INT64_MAX if done */
 	struct bytes checkpoint;
 };
 
+/* Callbacks to the transport and the upstream. */
 struct agent_ports {
-	/* To the coordinator; dropped while there is none. */
+	/* Sends to the coordinator; drops the message if there is none. */
 	void (*send)(void *arg, const struct msg *m);
-	/* To the agent of another member of a gang. */
+	/* Sends to the agent of another member of a gang. */
 	void (*send_gang)(void *arg, const char *addr, const struct msg *m);
-	/* Begin, or ask to end, the upstream's task of a member. */
+	/* Start a member's task on the upstream, or ask the upstream to stop it. */
 	void (*start_task)(void *arg, const struct agent_member *m);
 	void (*stop_task)(void *arg, const struct agent_member *m, enum stop_mode mode);
 	void *arg;
