--- a/packages/coordination/coord-private.h
+++ b/packages/coordination/coord-private.h
@@ -23,7 +23,7 @@
 #define COORD_DEAD_INCARNATION_TTL_MS	 (15 * 60 * 1000)
 /* Tolerated difference between the wall clocks of two machines. */
 #define COORD_CLOCK_SKEW_MAX_MS 500
-/* A job that is retried in a new term gets attempt numbers from term << shift on. */
+/* A job that is retried in a new term gets attempt numbers above term << shift. */
 #define COORD_ATTEMPT_TERM_SHIFT 8
 
 /* An agent, its connection and the worker that it manages. */
--- a/packages/coordination/coord.c
+++ b/packages/coordination/coord.c
@@ -4,22 +4,21 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define SUMMARY_PERIOD NSEC_PER_SEC
+#define SUMMARY_PERIOD_NS NSEC_PER_SEC
 
 GAUGE(term_gauge, "damaskpath_coordinator_term", "Term of this process as coordinator, or 0.");
 GAUGE(queued_gauge, "damaskpath_jobs_queued", "Jobs waiting in this cell.");
 GAUGE(running_gauge, "damaskpath_jobs_placed", "Jobs placed in this cell.");
 
-/* Free the note of an incarnation that is no more. */
 static void dead_incarnation_free(void *p)
 {
-	struct dead_incarnation *g = p;
+	struct dead_incarnation *di = p;
 
-	free(g->name);
-	free(g);
+	free(di->name);
+	free(di);
 }
 
-/* A coordinator that has no term yet. */
+/* Create a coordinator that has no term yet. */
 struct coord *coord_new(const char *cell, const struct coord_ports *ports)
 {
 	struct coord *c = xcalloc(1, sizeof(*c));
@@ -41,7 +40,7 @@
 	return c;
 }
 
-/* Free a coordinator. */
+/* Free a coordinator; it may be NULL. */
 void coord_free(struct coord *c)
 {
 	char *line;
@@ -64,19 +63,21 @@
 	free(c);
 }
 
-/* Remember an incarnation that is no more. */
+/* Remember that an incarnation of an agent has died. */
 static void add_dead_incarnation(
 	struct coord *c, const char *name, uint64_t incarnation, int64_t wall_ms)
 {
-	struct dead_incarnation *g = xcalloc(1, sizeof(*g));
+	struct dead_incarnation *di = xcalloc(1, sizeof(*di));
 
-	g->name = xstrdup(name);
-	g->incarnation = incarnation;
-	g->wall_ms = wall_ms;
-	g_ptr_array_add(c->dead_incarnations, g);
+	di->name = xstrdup(name);
+	di->incarnation = incarnation;
+	di->wall_ms = wall_ms;
+	g_ptr_array_add(c->dead_incarnations, di);
 }
 
-/* An agent introduced itself for the first time in this term: its old incarnation is no more.
+/*
+ * Handle the first hello of an agent in this term. If it has restarted since the previous term,
+ * its old incarnation is recorded as dead.
  */
 void coord_note_replaced(struct coord *c, int64_t now, const char *name, uint64_t incarnation)
 {
@@ -86,7 +87,7 @@
 		add_dead_incarnation(c, name, *old, coord_wall(c, now) / NSEC_PER_MSEC);
 }
 
-/* Agents of the term before that have not come in all the time: they are no more. */
+/* Record agents of the previous term as dead that have not connected in time. */
 static void declare_missing_agents_dead(struct coord *c, int64_t now)
 {
 	GHashTableIter it;
@@ -105,32 +106,32 @@
 	}
 }
 
-/* An agent died or restarted: what its old incarnation ran, nobody can tell any more. */
+/* Record that an agent died or restarted, so that what it ran is unknown from now on. */
 void coord_note_gone(struct coord *c, int64_t now, const struct coord_agent *a)
 {
 	add_dead_incarnation(c, a->name, a->incarnation, coord_wall(c, now) / NSEC_PER_MSEC);
 }
 
 /*
- * Parse "NAME/INCARNATION,-NAME/INCARNATION@WALL,..." into a table of those that are there;
- * the others, after a minus sign, go to gone unless c is NULL.
+ * Parse a roster, "NAME/INCARNATION,-NAME/INCARNATION@WALL_MS,...". Live agents go into table.
+ * Entries with a minus sign are dead incarnations, which are added to c unless it is NULL.
  */
 static void parse_roster(GHashTable *table, struct coord *c, const char *text)
 {
 	g_auto(GStrv) parts = g_strsplit(text != NULL ? text : "", ",", -1);
 
 	for (size_t i = 0; parts[i] != NULL; i++) {
-		bool gone = parts[i][0] == '-' && strchr(parts[i], '@') != NULL;
+		bool dead = parts[i][0] == '-' && strchr(parts[i], '@') != NULL;
 		char *slash = strrchr(parts[i], '/');
 		uint64_t *incarnation;
 
 		if (slash == NULL)
 			continue;
 		*slash = '\0';
-		if (gone && c != NULL) {
+		if (dead && c != NULL) {
 			add_dead_incarnation(c, parts[i] + 1, strtoull(slash + 1, NULL, 16),
 				strtoll(strchr(slash + 1, '@') + 1, NULL, 10));
-		} else if (!gone) {
+		} else if (!dead) {
 			incarnation = xmalloc(sizeof(*incarnation));
 			*incarnation = strtoull(slash + 1, NULL, 16);
 			g_hash_table_replace(table, g_strdup(parts[i]), incarnation);
@@ -138,7 +139,7 @@
 	}
 }
 
-/* The term has been won: start to settle. */
+/* Start a term that this process has won, and begin to settle. */
 void coord_begin(struct coord *c, int64_t now, int64_t wall, uint64_t term, const char *roster,
 	GPtrArray *records, const struct doc *doc)
 {
@@ -165,26 +166,25 @@
 	return (uint32_t)c->term << COORD_ATTEMPT_TERM_SHIFT;
 }
 
-/* The coordinator's term. */
+/* Return the coordinator's term, or 0 before one has started. */
 uint64_t coord_term(const struct coord *c)
 {
 	return c->term;
 }
 
-/* The core, for tests. */
+/* Return the scheduler, for tests. */
 struct sched *coord_sched(struct coord *c)
 {
 	return c->sched;
 }
 
-/* Whether jobs are placed. */
+/* Whether settling is over, so that jobs are placed. */
 bool coord_settled(const struct coord *c)
 {
 	return c->settled;
 }
 
-/* Whether an agent besides the named one is connected and takes work, so may coordinate next.
- */
+/* Whether an agent other than self is connected and takes work, so that it can take over. */
 bool coord_has_successor(struct coord *c, const char *self)
 {
 	GHashTableIter it;
@@ -200,7 +200,7 @@
 	return false;
 }
 
-/* How many jobs agents still wait for: they have not ended, or their end is not stored yet. */
+/* Count the jobs that run, and those whose end has not been stored and acknowledged. */
 size_t coord_open_jobs(const struct coord *c)
 {
 	GHashTableIter it;
@@ -216,19 +216,19 @@
 	return n;
 }
 
-/* Wall time of a monotonic one. */
+/* Convert a monotonic time to wall time. */
 int64_t coord_wall(const struct coord *c, int64_t now)
 {
 	return c->wall + now - c->wall_sampled_at;
 }
 
-/* Send a message; false where the peer is gone. */
+/* Send a message; false if the peer is not connected. */
 bool coord_send(struct coord *c, peer_id peer, const struct msg *m)
 {
 	return peer != PEER_NONE && c->ports.send(c->ports.arg, peer, m);
 }
 
-/* Add a line to the trail of job changes, within bounds. */
+/* Append a line to the audit log of job changes, which drops its oldest when full. */
 void coord_audit(struct coord *c, int64_t now, const char *what, const char *who,
 	const char *job, const char *detail)
 {
@@ -243,7 +243,7 @@
 		free(g_queue_pop_head(&c->audit));
 }
 
-/* Adopt a document; an older one is passed over. */
+/* Adopt a configuration document; one older than the current is ignored. */
 void coord_set_doc(struct coord *c, int64_t now, const struct doc *doc)
 {
 	if (doc->number < c->config_number)
@@ -255,7 +255,7 @@
 		coord_schedule(c, now);
 }
 
-/* Welcome an entry. */
+/* Register an entry and send it a welcome. */
 static void entry_hello(struct coord *c, peer_id peer)
 {
 	struct msg m = {.kind = MSG_WELCOME,
@@ -269,7 +269,7 @@
 	coord_send(c, peer, &m);
 }
 
-/* A peer introduced itself. */
+/* Handle the hello of a peer. */
 void coord_hello(struct coord *c, int64_t now, peer_id peer, const struct msg_hello *h)
 {
 	if (h->role == ROLE_AGENT)
@@ -278,7 +278,7 @@
 		entry_hello(c, peer);
 }
 
-/* A message of an agent or an entry. */
+/* Handle a message of an agent or an entry. */
 void coord_message(struct coord *c, int64_t now, peer_id peer, const struct msg *m)
 {
 	struct coord_agent *a = agent_by_peer(c, peer);
@@ -292,12 +292,12 @@
 	else if (m->kind == MSG_QUERY)
 		query_answer(c, now, peer, &m->query);
 	else
-		log_debug("coord", "A %s from a peer without a role was passed over.",
+		log_debug("coord", "Ignored an unexpected %s from a peer that is not an agent.",
 			msg_name(m->kind));
 	run_actions(c, now);
 }
 
-/* A connection is gone. */
+/* Handle a closed connection. */
 void coord_closed(struct coord *c, int64_t now, peer_id peer)
 {
 	struct coord_agent *a = agent_by_peer(c, peer);
@@ -308,7 +308,7 @@
 		g_hash_table_remove(c->entries, &peer);
 }
 
-/* Tell the entries what the cell looks like. */
+/* Send the load and the free capacity of the cell to all entries. */
 static void send_summary(struct coord *c, int64_t now)
 {
 	struct sched_free_view v;
@@ -337,14 +337,14 @@
 	c->last_summary = now;
 }
 
-/* Decide and act. */
+/* Run the scheduler and carry out its actions. */
 void coord_schedule(struct coord *c, int64_t now)
 {
 	sched_run(c->sched, now);
 	run_actions(c, now);
 }
 
-/* Forget the incarnations that went long ago. */
+/* Drop incarnations that died longer ago than COORD_DEAD_INCARNATION_TTL_MS. */
 static void expire_dead_incarnations(struct coord *c)
 {
 	int64_t oldest = c->wall / NSEC_PER_MSEC - COORD_DEAD_INCARNATION_TTL_MS;
@@ -356,7 +356,7 @@
 	}
 }
 
-/* Enforce times and decide; call about ten times a second. */
+/* Enforce timeouts and run the scheduler; call about ten times a second. */
 void coord_tick(struct coord *c, int64_t now, int64_t wall)
 {
 	c->wall = wall;
@@ -368,7 +368,7 @@
 	declare_missing_agents_dead(c, now);
 	expire_dead_incarnations(c);
 	coord_schedule(c, now);
-	if (now - c->last_summary >= SUMMARY_PERIOD)
+	if (now - c->last_summary >= SUMMARY_PERIOD_NS)
 		send_summary(c, now);
 }
 
@@ -378,8 +378,8 @@
 }
 
 /*
- * The names and incarnations of all agents that are not dead, of those of the term before that
- * have not come yet, and of those that were not long ago; see parse_roster.
+ * Format the roster, see parse_roster: agents that are not dead, agents of the previous term
+ * that have not connected yet, and incarnations that died recently.
  */
 char *coord_roster(const struct coord *c)
 {
@@ -404,10 +404,10 @@
 						       *(uint64_t *)value));
 	}
 	for (guint i = 0; i < c->dead_incarnations->len; i++) {
-		const struct dead_incarnation *g = c->dead_incarnations->pdata[i];
+		const struct dead_incarnation *di = c->dead_incarnations->pdata[i];
 
-		g_ptr_array_add(names, g_strdup_printf("-%s/%" PRIx64 "@%" PRId64, g->name,
-					       g->incarnation, g->wall_ms));
+		g_ptr_array_add(names, g_strdup_printf("-%s/%" PRIx64 "@%" PRId64, di->name,
+					       di->incarnation, di->wall_ms));
 	}
 	g_ptr_array_sort(names, compare_names);
 	g_ptr_array_add(names, NULL);
@@ -418,12 +418,12 @@
 /* Whether the saved roster is out of date. */
 bool coord_roster_changed(const struct coord *c)
 {
-	g_autofree char *now = coord_roster(c);
+	g_autofree char *roster = coord_roster(c);
 
-	return c->settled && g_strcmp0(now, c->saved_roster_text) != 0;
+	return c->settled && g_strcmp0(roster, c->saved_roster_text) != 0;
 }
 
-/* The roster has been saved: its workers may get any job. */
+/* Record that a roster was stored; workers of its agents may now get any job. */
 void coord_roster_saved(struct coord *c, const char *roster)
 {
 	GHashTableIter it;
@@ -444,7 +444,7 @@
 	}
 }
 
-/* Whether the store can be reached; jobs that wait for a record to be written are told. */
+/* Record whether the store can be reached; durable jobs are refused while it cannot. */
 void coord_store_state(struct coord *c, int64_t now, bool up)
 {
 	(void)now;
