--- a/packages/coordination/coord-job.c
+++ b/packages/coordination/coord-job.c
@@ -32,7 +32,7 @@
 	return id != NULL ? g_hash_table_lookup(c->jobs, id) : NULL;
 }
 
-/* Enter a job. */
+/* Add a job to the table; its id must be new. */
 struct coord_job *job_add(struct coord *c, int64_t now, const struct job_spec *spec)
 {
 	struct coord_job *j = xcalloc(1, sizeof(*j));
@@ -46,7 +46,7 @@
 	return j;
 }
 
-/* The record in the store is out of date. */
+/* Note that the stored record of a durable job is out of date. */
 void job_mark_dirty(struct coord_job *j)
 {
 	if (!j->spec.durable)
@@ -55,7 +55,7 @@
 	j->version++;
 }
 
-/* Give a job to the core. */
+/* Submit a job to the scheduler. */
 void job_submit_to_sched(struct coord *c, int64_t now, struct coord_job *j)
 {
 	struct sched_job *s;
@@ -70,16 +70,16 @@
 }
 
 /*
- * Whether a job has ended and that may be told. That a job which must be remembered was not run
- * is true only once its record says so: the next coordinator would run what the record has
- * open.
+ * Whether a job has ended and its result may be sent. That a durable job was not run may be
+ * reported only once its record says so: the next coordinator would run a job whose record is
+ * still open.
  */
 bool job_is_told(const struct coord_job *j)
 {
 	return j->ended && !(j->spec.durable && j->result.not_run && j->dirty);
 }
 
-/* Send a job's end, or that it was accepted, to an entry. */
+/* Send the result of a job to an entry, or that the job was accepted if it has not ended. */
 void job_answer(struct coord *c, struct coord_job *j, peer_id peer)
 {
 	struct msg m = {.kind = MSG_ANSWER,
@@ -89,7 +89,7 @@
 	coord_send(c, peer, &m);
 }
 
-/* Send a job's end to all who wait for it, if it may be told. */
+/* Send the result of a job to all entries that wait for it, if it may be sent. */
 static void answer_waiters(struct coord *c, struct coord_job *j)
 {
 	if (!job_is_told(j))
@@ -99,8 +99,8 @@
 	g_array_set_size(j->waiters, 0);
 }
 
-/* Refuse a job that was never entered. */
-static void refuse(struct coord *c, peer_id peer, const char *id, enum outcome outcome,
+/* Refuse a submission; no job is added for it. */
+static void send_refusal(struct coord *c, peer_id peer, const char *id, enum outcome outcome,
 	enum error_kind kind, bool not_run, const char *detail)
 {
 	struct msg m = {.kind = MSG_ANSWER, .answer = {.job = (char *)id, .term = c->term}};
@@ -113,7 +113,7 @@
 	coord_send(c, peer, &m);
 }
 
-/* Note that an entry waits for a job's end. */
+/* Register an entry that waits for a job, once. */
 static void add_waiter(struct coord_job *j, peer_id peer)
 {
 	for (guint i = 0; i < j->waiters->len; i++) {
@@ -123,13 +123,13 @@
 	g_array_append_val(j->waiters, peer);
 }
 
-/* A job that is known comes again. */
-static void submit_again(
+/* Handle the submission of a job that is already known. */
+static void resubmit_known_job(
 	struct coord *c, peer_id peer, struct coord_job *j, const struct msg_submit *m)
 {
 	counter_add(&jobs_repeated, 1);
 	if (g_strcmp0(j->spec.fingerprint, m->spec.fingerprint) != 0) {
-		refuse(c, peer, m->spec.id, OUTCOME_NOT_RUN, ERR_KEY_REUSED, true,
+		send_refusal(c, peer, m->spec.id, OUTCOME_NOT_RUN, ERR_KEY_REUSED, true,
 			"this request was not run; the key belongs to an earlier, different "
 			"one");
 		return;
@@ -144,8 +144,11 @@
 		job_answer(c, j, peer);
 }
 
-/* Give a job that no agent was told of back to an entry; to the next term it is a new one. */
-static void give_back(struct coord *c, const char *id, peer_id peer)
+/*
+ * Return a job that no agent was told of to an entry, which submits it to the next coordinator
+ * as a new one.
+ */
+static void send_returned(struct coord *c, const char *id, peer_id peer)
 {
 	struct msg m = {.kind = MSG_ANSWER,
 		.answer = {.job = (char *)id, .term = c->term, .returned = true}};
@@ -154,8 +157,9 @@
 }
 
 /*
- * Before a planned stop: place nothing more, and give the jobs that only wait back to the
- * entries that wait for them. Returns how many answers were sent.
+ * Prepare for a planned stop: place no more jobs, and return those that are not durable and
+ * have never been sent to an agent to the entries that wait for them. Returns the number of
+ * answers sent.
  */
 size_t coord_return_waiting(struct coord *c)
 {
@@ -174,14 +178,14 @@
 			(s->state != SCHED_JOB_QUEUED && s->state != SCHED_JOB_CLAIMING))
 			continue;
 		for (guint i = 0; i < j->waiters->len; i++)
-			give_back(c, j->spec.id, g_array_index(j->waiters, peer_id, i));
+			send_returned(c, j->spec.id, g_array_index(j->waiters, peer_id, i));
 		sent += j->waiters->len;
 		g_array_set_size(j->waiters, 0);
 	}
 	return sent;
 }
 
-/* An entry submits a job, perhaps again. */
+/* Handle a submission, which may be a repeated one. */
 void job_submit(struct coord *c, int64_t now, peer_id peer, const struct msg_submit *m)
 {
 	struct coord_job *j = job_find(c, m->spec.id);
@@ -189,15 +193,15 @@
 	if (m->spec.id == NULL || m->spec.org == NULL)
 		return;
 	if (j != NULL) {
-		submit_again(c, peer, j, m);
+		resubmit_known_job(c, peer, j, m);
 		return;
 	}
 	if (c->handing_over && !m->again) {
-		give_back(c, m->spec.id, peer);
+		send_returned(c, m->spec.id, peer);
 		return;
 	}
 	if (m->spec.durable && !c->store_up) {
-		refuse(c, peer, m->spec.id, OUTCOME_NOT_RUN, ERR_STORE_DOWN, true,
+		send_refusal(c, peer, m->spec.id, OUTCOME_NOT_RUN, ERR_STORE_DOWN, true,
 			"the store is down, so a job that has to be remembered cannot be "
 			"accepted");
 		return;
@@ -221,8 +225,8 @@
 	job_submit_to_sched(c, now, j);
 }
 
-/* Answer a request to cancel. */
-static void cancel_reply(struct coord *c, peer_id peer, uint64_t request, bool failed,
+/* Reply to a cancel request. */
+static void send_cancel_reply(struct coord *c, peer_id peer, uint64_t request, bool failed,
 	enum error_kind kind, const char *json)
 {
 	struct msg m = {.kind = MSG_REPLY,
@@ -234,13 +238,14 @@
 	coord_send(c, peer, &m);
 }
 
-/* A caller no longer wants a job. */
+/* Handle a cancel request. */
 void job_cancel(struct coord *c, int64_t now, peer_id peer, const struct msg_cancel *m)
 {
 	struct coord_job *j = job_find(c, m->job);
 
 	if (j == NULL || (m->org != NULL && g_strcmp0(m->org, j->spec.org) != 0)) {
-		cancel_reply(c, peer, m->request, true, ERR_NOT_FOUND, "the job is not known");
+		send_cancel_reply(
+			c, peer, m->request, true, ERR_NOT_FOUND, "the job is not known");
 		return;
 	}
 	if (j->in_core && !j->ended) {
@@ -248,22 +253,22 @@
 		sched_cancel(c->sched, now, j->ref);
 		run_actions(c, now);
 	} else if (!j->ended) {
-		cancel_reply(c, peer, m->request, true, ERR_OVERLOAD,
+		send_cancel_reply(c, peer, m->request, true, ERR_OVERLOAD,
 			"the job is being accepted; try again");
 		return;
 	}
-	cancel_reply(c, peer, m->request, false, ERR_INTERNAL, "{}");
+	send_cancel_reply(c, peer, m->request, false, ERR_INTERNAL, "{}");
 }
 
-/* Keep the ended jobs within bounds. */
-static void push_ended(struct coord *c, struct coord_job *j)
+/* Append a job to the list of ended ones, from which job_expire drops it. */
+static void track_ended(struct coord *c, struct coord_job *j)
 {
 	TAILQ_INSERT_TAIL(&c->ended, j, ended_entry);
 	c->ended_len++;
 	c->ended_bytes += j->result.body.len + j->spec.payload.len;
 }
 
-/* A job has ended: tell all who wait, and remember it for a while. */
+/* End a job: send the result to the waiting entries, and keep it for repeated submissions. */
 void job_end(struct coord *c, int64_t now, struct coord_job *j, const struct job_result *r)
 {
 	if (j->ended)
@@ -283,13 +288,13 @@
 	bytes_clear(&j->spec.payload);
 	job_mark_dirty(j);
 	answer_waiters(c, j);
-	push_ended(c, j);
+	track_ended(c, j);
 	log_info("coord", "A job ended: %s. job=%s attempt=%u term=%" PRIu64,
 		outcome_name(j->result.outcome), j->spec.id, j->attempt, c->term);
 }
 
-/* Whether an ended job may be forgotten. */
-static bool may_forget(const struct coord *c, const struct coord_job *j, int64_t now)
+/* Whether an ended job may be dropped. */
+static bool is_expirable(const struct coord *c, const struct coord_job *j, int64_t now)
 {
 	int64_t age = now - j->ended_at;
 
@@ -301,16 +306,19 @@
 	       c->ended_bytes > COORD_ENDED_BYTES_MAX;
 }
 
-/* Forget ended jobs that are old, or too many. */
+/*
+ * Drop ended jobs that are too old, too many or too large in sum. The record of a durable job
+ * is deleted first. The work of one call is bounded.
+ */
 void job_expire(struct coord *c, int64_t now)
 {
 	struct coord_job *j;
 	struct coord_job *next;
-	int budget = 1000;
+	int budget = 1000; /* jobs looked at in one call */
 
 	for (j = TAILQ_FIRST(&c->ended); j != NULL && budget-- > 0; j = next) {
 		next = TAILQ_NEXT(j, ended_entry);
-		if (!may_forget(c, j, now)) {
+		if (!is_expirable(c, j, now)) {
 			if (now - j->ended_at < COORD_ENDED_JOB_TTL_NS &&
 				c->ended_len <= COORD_ENDED_JOBS_MAX &&
 				c->ended_bytes <= COORD_ENDED_BYTES_MAX)
@@ -331,7 +339,7 @@
 	}
 }
 
-/* Collect what has to be written; false where there is nothing. */
+/* Collect the records that have to be written; false if there are none. */
 bool coord_take_batch(struct coord *c, struct coord_batch *out)
 {
 	GArray *writes = g_array_new(FALSE, TRUE, sizeof(struct job_write));
@@ -367,7 +375,7 @@
 	return false;
 }
 
-/* Free a batch. */
+/* Free what a batch holds. */
 void coord_batch_clear(struct coord_batch *b)
 {
 	for (size_t i = 0; i < b->len; i++) {
@@ -380,7 +388,7 @@
 	memset(b, 0, sizeof(*b));
 }
 
-/* Acknowledge the ends that waited for the record. */
+/* Send the acknowledgements that waited for the record of a job. */
 static void send_acks(struct coord *c, struct coord_job *j)
 {
 	for (guint i = 0; i < j->acks->len; i++) {
@@ -394,7 +402,7 @@
 	g_array_set_size(j->acks, 0);
 }
 
-/* The record of a job is in the store as it was at a version. */
+/* Handle that the record of a job was stored as it was at a version. */
 static void record_written(struct coord *c, int64_t now, struct coord_job *j, uint64_t version)
 {
 	j->written_version = version;
@@ -416,7 +424,7 @@
 	}
 }
 
-/* A batch was written, or was not. */
+/* Handle the end of a batch; jobs of one that was not written stay dirty. */
 void coord_batch_done(struct coord *c, int64_t now, const struct coord_batch *b, bool written)
 {
 	for (size_t i = 0; i < b->len; i++) {
