--- a/packages/coordination/coord-settle.c
+++ b/packages/coordination/coord-settle.c
@@ -5,27 +5,27 @@
 #include <string.h>
 
 /*
- * A new coordinator rebuilds its state from two sources: the agents, which know what runs and
- * what ended, and the store, which has the jobs that must be remembered. An agent that has
- * adopted our term refuses the messages of older ones, so its inventory is final: what it does
- * not list can no longer start there.
+ * Recovery after a takeover. A new coordinator rebuilds its state from two sources: the agents,
+ * which know what runs and what ended, and the store, which has the durable jobs. An agent that
+ * has adopted our term refuses the messages of older ones, so its inventory is final: what it
+ * does not list can no longer start there.
  */
 
-/* Whether an incarnation that could have been told to start a job has gone since it came. */
-static bool lost_witness(const struct coord *c, const struct job_spec *spec)
+/* Whether an agent that may have been told to start a job has died since its submission. */
+static bool agent_died_since(const struct coord *c, const struct job_spec *spec)
 {
 	for (guint i = 0; i < c->dead_incarnations->len; i++) {
-		const struct dead_incarnation *g = c->dead_incarnations->pdata[i];
+		const struct dead_incarnation *di = c->dead_incarnations->pdata[i];
 
-		if (g->wall_ms + COORD_CLOCK_SKEW_MAX_MS >= spec->submitted_wall_ms)
+		if (di->wall_ms + COORD_CLOCK_SKEW_MAX_MS >= spec->submitted_wall_ms)
 			return true;
 	}
 	return false;
 }
 
 /*
- * Whether every agent that an earlier term could have told to start a job is here, and none
- * that was here since the job came has restarted or died.
+ * Whether every agent that an earlier term may have told to start a job is connected, and none
+ * has restarted or died since the job was submitted.
  */
 bool settle_all_agents_present(struct coord *c, const struct job_spec *spec)
 {
@@ -38,11 +38,14 @@
 		if (!agent_same(c, key, *(uint64_t *)value))
 			return false;
 	}
-	return !lost_witness(c, spec);
+	return !agent_died_since(c, spec);
 }
 
-/* Whether the agents of a record's placement say that they do not have the job. */
-static bool never_started(struct coord *c, const char *placed)
+/*
+ * Whether the agents on which a job was placed ("NAME/INCARNATION,...") have all sent an
+ * inventory and have not restarted, so that their not listing the job proves it is not there.
+ */
+static bool absent_where_placed(struct coord *c, const char *placed)
 {
 	g_auto(GStrv) parts = g_strsplit(placed != NULL ? placed : "", ",", -1);
 
@@ -58,8 +61,8 @@
 	return parts[0] != NULL;
 }
 
-/* Send what an agent listed as ended through the ordinary path. */
-static void replay_end(
+/* Handle a member listed as ended as if its MSG_ENDED had just arrived. */
+static void replay_member_end(
 	struct coord *c, int64_t now, struct coord_agent *a, struct member_record *r)
 {
 	struct msg_ended m = {.term = c->term,
@@ -72,15 +75,15 @@
 	run_take_end(c, now, a, &m);
 }
 
-/* Compare an agent's member with a job that we have in hand. */
-static void reconcile(struct coord *c, int64_t now, struct coord_agent *a, struct coord_job *j,
-	struct member_record *r)
+/* Match a listed member to its job, and stop it if it is not of the current attempt. */
+static void reconcile_member(struct coord *c, int64_t now, struct coord_agent *a,
+	struct coord_job *j, struct member_record *r)
 {
 	struct msg_reserved ok = {
 		.job = r->spec.id, .attempt = r->attempt, .member = r->member, .ok = true};
 
 	if (r->state == MEMBER_ENDED) {
-		replay_end(c, now, a, r);
+		replay_member_end(c, now, a, r);
 		return;
 	}
 	if (!j->in_core || j->attempt != r->attempt) {
@@ -90,26 +93,26 @@
 	run_reserved(c, now, a, &ok);
 }
 
-/* Free a member that was found. */
 void reported_member_free(void *p)
 {
-	struct reported_member *f = p;
+	struct reported_member *rm = p;
 
-	fields_clear(&member_record_fields, &f->record);
-	free(f);
+	fields_clear(&member_record_fields, &rm->record);
+	free(rm);
 }
 
-/* Remember a member for the end of settling. */
-static void keep_found(struct coord *c, struct coord_agent *a, const struct member_record *r)
+/* Keep a listed member until its job is settled. */
+static void keep_reported_member(
+	struct coord *c, struct coord_agent *a, const struct member_record *r)
 {
-	struct reported_member *f = xcalloc(1, sizeof(*f));
+	struct reported_member *rm = xcalloc(1, sizeof(*rm));
 
-	f->agent = a;
-	fields_copy(&member_record_fields, &f->record, r);
-	g_ptr_array_add(c->reported_members, f);
+	rm->agent = a;
+	fields_copy(&member_record_fields, &rm->record, r);
+	g_ptr_array_add(c->reported_members, rm);
 }
 
-/* Forget what an agent listed: it has restarted, or lists anew. */
+/* Drop the listed members of an agent that died, restarted or sends a new inventory. */
 void settle_forget(struct coord *c, const struct coord_agent *a)
 {
 	for (guint i = c->reported_members->len; i-- > 0;) {
@@ -119,27 +122,27 @@
 }
 
 /*
- * A member ended that was listed as running and has not been settled yet: keep how, for the
- * end of settling, which acknowledges it. False where no such member was listed.
+ * Record the end of a listed member whose job has not been settled yet; settling the job
+ * acknowledges it. False if no such member was listed.
  */
 bool settle_ended(struct coord *c, const struct coord_agent *a, const struct msg_ended *m)
 {
 	for (guint i = 0; i < c->reported_members->len; i++) {
-		struct reported_member *f = c->reported_members->pdata[i];
+		struct reported_member *rm = c->reported_members->pdata[i];
 
-		if (f->agent != a || strcmp(f->record.spec.id, m->job) != 0 ||
-			f->record.attempt != m->attempt || f->record.member != m->member)
+		if (rm->agent != a || strcmp(rm->record.spec.id, m->job) != 0 ||
+			rm->record.attempt != m->attempt || rm->record.member != m->member)
 			continue;
-		f->record.state = MEMBER_ENDED;
-		f->record.end = m->end;
-		fields_clear(&job_result_fields, &f->record.result);
-		fields_copy(&job_result_fields, &f->record.result, &m->result);
+		rm->record.state = MEMBER_ENDED;
+		rm->record.end = m->end;
+		fields_clear(&job_result_fields, &rm->record.result);
+		fields_copy(&job_result_fields, &rm->record.result, &m->result);
 		return true;
 	}
 	return false;
 }
 
-/* Take in an agent's inventory. */
+/* Handle an agent's inventory. */
 void settle_found(struct coord *c, struct coord_agent *a, const struct msg_inventory *inv)
 {
 	settle_forget(c, a);
@@ -150,33 +153,33 @@
 		if (r->spec.id == NULL || r->spec.org == NULL)
 			continue;
 		if (j != NULL && (j->in_core || j->ended))
-			reconcile(c, c->wall_sampled_at, a, j, r);
+			reconcile_member(c, c->wall_sampled_at, a, j, r);
 		else
-			keep_found(c, a, r);
+			keep_reported_member(c, a, r);
 	}
 }
 
-/* The members of one job that were found, of its newest attempt. */
-static GPtrArray *group_of(struct coord *c, const char *id)
+/* Return the listed members of a job's newest attempt, and stop those of older ones. */
+static GPtrArray *newest_attempt_of(struct coord *c, const char *id)
 {
 	GPtrArray *group = g_ptr_array_new();
 	uint32_t newest = 0;
 
 	for (guint i = 0; i < c->reported_members->len; i++) {
-		struct reported_member *f = c->reported_members->pdata[i];
+		struct reported_member *rm = c->reported_members->pdata[i];
 
-		if (strcmp(f->record.spec.id, id) == 0)
-			newest = MAX(newest, f->record.attempt);
+		if (strcmp(rm->record.spec.id, id) == 0)
+			newest = MAX(newest, rm->record.attempt);
 	}
 	for (guint i = 0; i < c->reported_members->len; i++) {
-		struct reported_member *f = c->reported_members->pdata[i];
+		struct reported_member *rm = c->reported_members->pdata[i];
 
-		if (strcmp(f->record.spec.id, id) != 0)
+		if (strcmp(rm->record.spec.id, id) != 0)
 			continue;
-		if (f->record.attempt == newest)
-			g_ptr_array_add(group, f);
-		else if (f->record.state != MEMBER_ENDED)
-			run_send_stop(c, f->agent->peer, id, f->record.attempt, STOP_NOW);
+		if (rm->record.attempt == newest)
+			g_ptr_array_add(group, rm);
+		else if (rm->record.state != MEMBER_ENDED)
+			run_send_stop(c, rm->agent->peer, id, rm->record.attempt, STOP_NOW);
 	}
 	return group;
 }
@@ -185,30 +188,30 @@
 static bool none_started(const GPtrArray *group)
 {
 	for (guint i = 0; i < group->len; i++) {
-		const struct reported_member *f = group->pdata[i];
-		bool never = f->record.state == MEMBER_ENDED &&
-			     f->record.end == MEMBER_END_NEVER_STARTED;
+		const struct reported_member *rm = group->pdata[i];
+		bool never = rm->record.state == MEMBER_ENDED &&
+			     rm->record.end == MEMBER_END_NEVER_STARTED;
 
-		if (f->record.state != MEMBER_RESERVED && !never)
+		if (rm->record.state != MEMBER_RESERVED && !never)
 			return false;
 	}
 	return true;
 }
 
-/* Whether all members of a gang were found; one that was not may have started. */
-static bool is_whole(const GPtrArray *group)
+/* Whether all members of an attempt were listed; one that was not may have started. */
+static bool is_complete(const GPtrArray *group)
 {
 	return group->len == ((struct reported_member *)group->pdata[0])->record.size;
 }
 
-/* Send the ends of a group through the ordinary path. */
-static void replay_ends(struct coord *c, int64_t now, const GPtrArray *group)
+/* Handle the members of a group that were listed as ended. */
+static void replay_group_ends(struct coord *c, int64_t now, const GPtrArray *group)
 {
 	for (guint i = 0; i < group->len; i++) {
-		struct reported_member *f = group->pdata[i];
+		struct reported_member *rm = group->pdata[i];
 
-		if (f->record.state == MEMBER_ENDED)
-			replay_end(c, now, f->agent, &f->record);
+		if (rm->record.state == MEMBER_ENDED)
+			replay_member_end(c, now, rm->agent, &rm->record);
 	}
 }
 
@@ -216,43 +219,43 @@
 static void release_group(struct coord *c, const GPtrArray *group)
 {
 	for (guint i = 0; i < group->len; i++) {
-		const struct reported_member *f = group->pdata[i];
+		const struct reported_member *rm = group->pdata[i];
 
-		run_send_stop(
-			c, f->agent->peer, f->record.spec.id, f->record.attempt, STOP_RELEASE);
+		run_send_stop(c, rm->agent->peer, rm->record.spec.id, rm->record.attempt,
+			STOP_RELEASE);
 	}
 }
 
-/* Finish the start of a gang that the coordinator before us had begun. */
-static void finish_start(struct coord *c, struct coord_job *j, const GPtrArray *group)
+/* Complete the start of a gang that the previous coordinator had begun. */
+static void resume_gang_start(struct coord *c, struct coord_job *j, const GPtrArray *group)
 {
 	for (guint i = 0; i < group->len; i++) {
-		const struct reported_member *f = group->pdata[i];
+		const struct reported_member *rm = group->pdata[i];
 		struct msg m = {.kind = MSG_START,
 			.start = {.term = c->term, .job = j->spec.id, .attempt = j->attempt}};
 
-		if (f->record.state == MEMBER_RESERVED)
-			coord_send(c, f->agent->peer, &m);
+		if (rm->record.state == MEMBER_RESERVED)
+			coord_send(c, rm->agent->peer, &m);
 	}
 }
 
-/* Take over a job of which members have started. */
-static void adopt_group(struct coord *c, int64_t now, struct coord_job *j, GPtrArray *group)
+/* Take over a job that has started; one with missing members is stopped. */
+static void adopt_job(struct coord *c, int64_t now, struct coord_job *j, GPtrArray *group)
 {
 	struct sched_member members[SCHED_MEMBERS_MAX] = {0};
 	const struct reported_member *first = group->pdata[0];
 	uint32_t len = MIN(group->len, (guint)SCHED_MEMBERS_MAX);
-	bool whole = is_whole(group);
+	bool complete = is_complete(group);
 	int64_t running = 0;
 
 	for (uint32_t i = 0; i < len; i++) {
-		const struct reported_member *f = group->pdata[i];
+		const struct reported_member *rm = group->pdata[i];
 
-		members[i].worker = f->agent->worker;
-		members[i].accelerators = f->record.accelerators;
-		running = MAX(running, f->record.running_ms * NSEC_PER_MSEC);
-		j->members[i] = (struct coord_member){.agent = f->agent,
-			.incarnation = f->agent->incarnation,
+		members[i].worker = rm->agent->worker;
+		members[i].accelerators = rm->record.accelerators;
+		running = MAX(running, rm->record.running_ms * NSEC_PER_MSEC);
+		j->members[i] = (struct coord_member){.agent = rm->agent,
+			.incarnation = rm->agent->incarnation,
 			.sent = true,
 			.reserved = true,
 			.told = true};
@@ -266,16 +269,17 @@
 	j->may_have_started = false;
 	j->ref = sched_adopt(c->sched, now, &j->spec, j, j->attempt, members, len, running);
 	sched_job(c->sched, j->ref)->attempt_floor = coord_attempt_floor(c);
-	log_info("coord", "A running job was taken over%s. job=%s attempt=%u term=%" PRIu64,
-		whole ? "" : " in part and is stopped", j->spec.id, j->attempt, c->term);
-	if (whole)
-		finish_start(c, j, group);
+	log_info("coord", "A running job was adopted%s. job=%s attempt=%u term=%" PRIu64,
+		complete ? "" : " and is stopped, as members are missing", j->spec.id,
+		j->attempt, c->term);
+	if (complete)
+		resume_gang_start(c, j, group);
 	run_actions(c, now);
-	replay_ends(c, now, group);
+	replay_group_ends(c, now, group);
 }
 
-/* Whether each member of a group belongs to a worker that we know. */
-static bool has_workers(const GPtrArray *group)
+/* Whether the worker of each member of a group is known to the scheduler. */
+static bool all_have_workers(const GPtrArray *group)
 {
 	for (guint i = 0; i < group->len; i++) {
 		if (!((struct reported_member *)group->pdata[i])->agent->has_worker)
@@ -284,7 +288,7 @@
 	return true;
 }
 
-/* Whether a job of the found is known and goes on, or has an entry that waits for it. */
+/* Whether a job is durable, in the scheduler, ended or waited for by an entry. */
 static bool is_wanted(struct coord *c, const struct job_spec *spec)
 {
 	const struct coord_job *j = job_find(c, spec->id);
@@ -303,35 +307,35 @@
 }
 
 /*
- * Whether a group is only what is left of a job that nobody waits for any more, as the
- * coordinator before us has answered: of one that never started, which may have been cancelled,
- * or in part of one that may run again. An entry that still wants it submits it again.
+ * Whether a group belongs to a job that no entry waits for, because the previous coordinator
+ * has answered: one that never started and may have been cancelled, or an idempotent one of
+ * which only some members are listed, all ended. An entry that still wants it resubmits it.
  */
-static bool is_leftover(struct coord *c, const GPtrArray *group)
+static bool is_abandoned(struct coord *c, const GPtrArray *group)
 {
 	const struct job_spec *spec = &((struct reported_member *)group->pdata[0])->record.spec;
 
 	if (is_wanted(c, spec))
 		return false;
 	return none_started(group) ||
-	       (spec->idempotent && !is_whole(group) && all_ended(group));
+	       (spec->idempotent && !is_complete(group) && all_ended(group));
 }
 
 /* Acknowledge the ends of a group and release its reservations. */
-static void drop_group(struct coord *c, int64_t now, const GPtrArray *group)
+static void discard_group(struct coord *c, int64_t now, const GPtrArray *group)
 {
 	release_group(c, group);
-	replay_ends(c, now, group);
+	replay_group_ends(c, now, group);
 }
 
-/* Decide on one job that was found. */
+/* Decide what becomes of a listed job. */
 static void settle_group(struct coord *c, int64_t now, GPtrArray *group)
 {
 	struct reported_member *first = group->pdata[0];
 	struct coord_job *j = job_find(c, first->record.spec.id);
 
-	if (is_leftover(c, group)) {
-		drop_group(c, now, group);
+	if (is_abandoned(c, group)) {
+		discard_group(c, now, group);
 		return;
 	}
 	if (j == NULL)
@@ -339,42 +343,42 @@
 	j->record_attempt = MAX(j->record_attempt, first->record.attempt);
 	if (j->in_core || j->ended) {
 		for (guint i = 0; i < group->len; i++) {
-			struct reported_member *f = group->pdata[i];
+			struct reported_member *rm = group->pdata[i];
 
-			reconcile(c, now, f->agent, j, &f->record);
+			reconcile_member(c, now, rm->agent, j, &rm->record);
 		}
 	} else if (none_started(group)) {
 		release_group(c, group);
-		j->may_have_started = !is_whole(group) && !j->spec.idempotent;
+		j->may_have_started = !is_complete(group) && !j->spec.idempotent;
 		if (!j->may_have_started)
 			job_submit_to_sched(c, now, j);
-	} else if (has_workers(group)) {
-		adopt_group(c, now, j, group);
+	} else if (all_have_workers(group)) {
+		adopt_job(c, now, j, group);
 	} else {
 		release_group(c, group);
 	}
 }
 
-/* Go through what was found, job by job. */
+/* Settle all listed members, job by job. */
 static void settle_groups(struct coord *c, int64_t now)
 {
 	while (c->reported_members->len > 0) {
 		struct reported_member *first = c->reported_members->pdata[0];
 		AUTOFREE char *id = xstrdup(first->record.spec.id);
-		GPtrArray *group = group_of(c, id);
+		GPtrArray *group = newest_attempt_of(c, id);
 
 		settle_group(c, now, group);
 		g_ptr_array_unref(group);
 		for (guint i = c->reported_members->len; i-- > 0;) {
-			const struct reported_member *f = c->reported_members->pdata[i];
+			const struct reported_member *rm = c->reported_members->pdata[i];
 
-			if (strcmp(f->record.spec.id, id) == 0)
+			if (strcmp(rm->record.spec.id, id) == 0)
 				g_ptr_array_remove_index(c->reported_members, i);
 		}
 	}
 }
 
-/* Take in the records that the coordinator before us left. */
+/* Load the job records of earlier terms; a job without a result may have started. */
 void settle_load_records(struct coord *c, int64_t now, GPtrArray *records)
 {
 	for (guint i = 0; records != NULL && i < records->len; i++) {
@@ -392,17 +396,20 @@
 	}
 }
 
-/* Whether an undecided job can be shown never to have started, so that it may run. */
-static bool may_run(struct coord *c, const struct coord_job *j)
+/* Whether a job may be run: it is idempotent, or is proven not to have started. */
+static bool is_safe_to_run(struct coord *c, const struct coord_job *j)
 {
 	if (j->spec.idempotent)
 		return true;
 	if (j->spec.durable)
-		return j->record_attempt == 0 || never_started(c, j->placed);
+		return j->record_attempt == 0 || absent_where_placed(c, j->placed);
 	return settle_all_agents_present(c, &j->spec);
 }
 
-/* Decide on the jobs that nobody runs as far as we can see. */
+/*
+ * Run the jobs that an earlier term may have started where that is safe, and end the others as
+ * unknown after COORD_UNKNOWN_OUTCOME_TIMEOUT_NS.
+ */
 static void settle_uncertain_jobs(struct coord *c, int64_t now)
 {
 	g_autoptr(GPtrArray) open = g_ptr_array_new();
@@ -421,7 +428,7 @@
 			.error = ERR_UNKNOWN_OUTCOME,
 			.detail = "a worker that may have run the job is gone"};
 
-		if (may_run(c, j)) {
+		if (is_safe_to_run(c, j)) {
 			j->may_have_started = false;
 			j->record_attempt = MAX(j->record_attempt, coord_attempt_floor(c));
 			job_submit_to_sched(c, now, j);
@@ -431,8 +438,8 @@
 	}
 }
 
-/* Whether all agents of the roster have told what they run. */
-static bool all_heard(struct coord *c)
+/* Whether all agents of the previous roster have sent their inventory. */
+static bool all_inventories_received(struct coord *c)
 {
 	GHashTableIter it;
 	gpointer key;
@@ -447,18 +454,21 @@
 	return true;
 }
 
-/* Go on with settling: done when all agents were heard, or after a while. */
+/*
+ * Finish settling once all agents of the previous roster have sent their inventory, or after
+ * COORD_SETTLE_TIMEOUT_NS. After that, settle what was listed later.
+ */
 void settle_sweep(struct coord *c, int64_t now)
 {
 	if (c->term == 0)
 		return;
-	if (!c->settled &&
-		(now - c->term_started_at > COORD_SETTLE_TIMEOUT_NS ||
-			(g_hash_table_size(c->previous_roster) > 0 && all_heard(c)))) {
+	if (!c->settled && (now - c->term_started_at > COORD_SETTLE_TIMEOUT_NS ||
+				   (g_hash_table_size(c->previous_roster) > 0 &&
+					   all_inventories_received(c)))) {
 		c->settled = true;
 		settle_groups(c, now);
 		sched_set_settling(c->sched, false);
-		log_info("coord", "Settled; jobs are placed from now on. cell=%s term=%" PRIu64,
+		log_info("coord", "Settled; placing jobs from now on. cell=%s term=%" PRIu64,
 			c->cell, c->term);
 	}
 	if (!c->settled)
