--- a/packages/coordination/agent-core.h
+++ b/packages/coordination/agent-core.h
@@ -11,7 +11,7 @@
 
 /* A reservation that is not started within this time ends. */
 #define AGENT_RESERVE_LEASE (10 * NSEC_PER_SEC)
-#define AGENT_GANG_BEAT	    NSEC_PER_SEC
+#define AGENT_GANG_BEAT_NS  NSEC_PER_SEC
 /* A gang member that hears no heartbeat for this long stops. */
 #define AGENT_GANG_LEASE (5 * NSEC_PER_SEC)
 /* How long a member is kept after its end was acknowledged. */
