--- a/packages/coordination/coord.c
+++ b/packages/coordination/coord.c
@@ -292,7 +292,8 @@
 	else if (m->kind == MSG_QUERY)
 		query_answer(c, now, peer, &m->query);
 	else
-		log_debug("coord", "Ignored an unexpected %s from a peer that is not an agent.",
+		log_debug("coord",
+			"Ignored an unexpected %s from a peer whose role does not send it.",
 			msg_name(m->kind));
 	run_actions(c, now);
 }
