--- a/packages/coordination/coord-settle.c
+++ b/packages/coordination/coord-settle.c
@@ -270,8 +270,7 @@
 	j->ref = sched_adopt(c->sched, now, &j->spec, j, j->attempt, members, len, running);
 	sched_job(c->sched, j->ref)->attempt_floor = coord_attempt_floor(c);
 	log_info("coord", "A running job was adopted%s. job=%s attempt=%u term=%" PRIu64,
-		complete ? "" : " and is stopped, as members are missing", j->spec.id,
-		j->attempt, c->term);
+		complete ? "" : " in part and is stopped", j->spec.id, j->attempt, c->term);
 	if (complete)
 		resume_gang_start(c, j, group);
 	run_actions(c, now);
@@ -468,7 +467,7 @@
 		c->settled = true;
 		settle_groups(c, now);
 		sched_set_settling(c->sched, false);
-		log_info("coord", "Settled; placing jobs from now on. cell=%s term=%" PRIu64,
+		log_info("coord", "Settled; jobs are placed from now on. cell=%s term=%" PRIu64,
 			c->cell, c->term);
 	}
 	if (!c->settled)
