--- a/packages/coordination/coord.c
+++ b/packages/coordination/coord.c
@@ -4,22 +4,21 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define SUMMARY_PERIOD NSEC_PER_SEC
+#define SUMMARY_PERIOD_NS NSEC_PER_SEC
 
 GAUGE(term_gauge, "damaskpath_coordinator_term", "Term of this process as coordinator, or 0.");
 GAUGE(queued_gauge, "damaskpath_jobs_queued", "Jobs waiting in this cell.");
 GAUGE(running_gauge, "damaskpath_jobs_placed", "Jobs placed in this cell.");
 
-/* Free the note of an incarnation that is no more. */
-static void gone_free(void *p)
+static void dead_incarnation_free(void *p)
 {
-	struct coord_gone *g = p;
+	struct dead_incarnation *di = p;
 
-	free(g->name);
-	free(g);
+	free(di->name);
+	free(di);
 }
 
-/* A coordinator that has no term yet. */
+/* Create a coordinator that has no term yet. */
 struct coord *coord_new(const char *cell, const struct coord_ports *ports)
 {
 	struct coord *c = xcalloc(1, sizeof(*c));
@@ -28,12 +27,12 @@
 	c->ports = *ports;
 	c->sched = sched_new(SCHED_POLICY_FULL, random_u64());
 	c->agents = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, agent_record_free);
-	c->jobs = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, job_record_drop);
+	c->jobs = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, coord_job_free);
 	c->entries = g_hash_table_new_full(g_int64_hash, g_int64_equal, free, NULL);
-	c->old_roster = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free);
+	c->previous_roster = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free);
 	c->saved_roster = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free);
-	c->found = g_ptr_array_new_with_free_func(found_free);
-	c->gone = g_ptr_array_new_with_free_func(gone_free);
+	c->reported_members = g_ptr_array_new_with_free_func(reported_member_free);
+	c->dead_incarnations = g_ptr_array_new_with_free_func(dead_incarnation_free);
 	c->grace = 5 * NSEC_PER_SEC;
 	c->store_up = true;
 	TAILQ_INIT(&c->ended);
@@ -41,7 +40,7 @@
 	return c;
 }
 
-/* Free a coordinator. */
+/* Free a coordinator; it may be NULL. */
 void coord_free(struct coord *c)
 {
 	char *line;
@@ -49,86 +48,90 @@
 	if (c == NULL)
 		return;
 	counter_set(&term_gauge, 0);
-	g_ptr_array_unref(c->found);
-	g_ptr_array_unref(c->gone);
+	g_ptr_array_unref(c->reported_members);
+	g_ptr_array_unref(c->dead_incarnations);
 	g_hash_table_destroy(c->jobs);
 	g_hash_table_destroy(c->agents);
 	g_hash_table_destroy(c->entries);
-	g_hash_table_destroy(c->old_roster);
+	g_hash_table_destroy(c->previous_roster);
 	g_hash_table_destroy(c->saved_roster);
 	sched_free(c->sched);
 	while ((line = g_queue_pop_head(&c->audit)) != NULL)
 		free(line);
-	free(c->last_saved);
+	free(c->saved_roster_text);
 	free(c->cell);
 	free(c);
 }
 
-/* Remember an incarnation that is no more. */
-static void add_gone(struct coord *c, const char *name, uint64_t incarnation, int64_t wall_ms)
+/* Remember that an incarnation of an agent has died. */
+static void add_dead_incarnation(
+	struct coord *c, const char *name, uint64_t incarnation, int64_t wall_ms)
 {
-	struct coord_gone *g = xcalloc(1, sizeof(*g));
+	struct dead_incarnation *di = xcalloc(1, sizeof(*di));
 
-	g->name = xstrdup(name);
-	g->incarnation = incarnation;
-	g->wall_ms = wall_ms;
-	g_ptr_array_add(c->gone, g);
+	di->name = xstrdup(name);
+	di->incarnation = incarnation;
+	di->wall_ms = wall_ms;
+	g_ptr_array_add(c->dead_incarnations, di);
 }
 
-/* An agent introduced itself for the first time in this term: its old incarnation is no more.
+/*
+ * Handle the first hello of an agent in this term. If it has restarted since the previous term,
+ * its old incarnation is recorded as dead.
  */
 void coord_note_replaced(struct coord *c, int64_t now, const char *name, uint64_t incarnation)
 {
-	const uint64_t *old = g_hash_table_lookup(c->old_roster, name);
+	const uint64_t *old = g_hash_table_lookup(c->previous_roster, name);
 
 	if (old != NULL && *old != incarnation)
-		add_gone(c, name, *old, coord_wall(c, now) / NSEC_PER_MSEC);
+		add_dead_incarnation(c, name, *old, coord_wall(c, now) / NSEC_PER_MSEC);
 }
 
-/* Agents of the term before that have not come in all the time: they are no more. */
-static void give_up_missing(struct coord *c, int64_t now)
+/* Record agents of the previous term as dead that have not connected in time. */
+static void declare_missing_agents_dead(struct coord *c, int64_t now)
 {
 	GHashTableIter it;
 	gpointer key;
 	gpointer value;
 
-	if (now - c->began < COORD_DEAD_AFTER)
+	if (now - c->term_started_at < COORD_DEAD_AFTER)
 		return;
-	g_hash_table_iter_init(&it, c->old_roster);
+	g_hash_table_iter_init(&it, c->previous_roster);
 	while (g_hash_table_iter_next(&it, &key, &value)) {
 		if (g_hash_table_contains(c->agents, key))
 			continue;
-		add_gone(c, key, *(uint64_t *)value, coord_wall(c, now) / NSEC_PER_MSEC);
+		add_dead_incarnation(
+			c, key, *(uint64_t *)value, coord_wall(c, now) / NSEC_PER_MSEC);
 		g_hash_table_iter_remove(&it);
 	}
 }
 
-/* An agent died or restarted: what its old incarnation ran, nobody can tell any more. */
+/* Record that an agent died or restarted, so that what it ran is unknown from now on. */
 void coord_note_gone(struct coord *c, int64_t now, const struct coord_agent *a)
 {
-	add_gone(c, a->name, a->incarnation, coord_wall(c, now) / NSEC_PER_MSEC);
+	add_dead_incarnation(c, a->name, a->incarnation, coord_wall(c, now) / NSEC_PER_MSEC);
 }
 
 /*
- * Parse "NAME/INCARNATION,-NAME/INCARNATION@WALL,..." into a table of those that are there;
- * the others, after a minus sign, go to gone unless c is NULL.
+ * Parse a roster, "NAME/INCARNATION,-NAME/INCARNATION@WALL_MS,...". Live agents go into table.
+ * Entries with a minus sign are dead incarnations, which are added to c unless it is NULL.
  */
 static void parse_roster(GHashTable *table, struct coord *c, const char *text)
 {
 	g_auto(GStrv) parts = g_strsplit(text != NULL ? text : "", ",", -1);
 
 	for (size_t i = 0; parts[i] != NULL; i++) {
-		bool gone = parts[i][0] == '-' && strchr(parts[i], '@') != NULL;
+		bool dead = parts[i][0] == '-' && strchr(parts[i], '@') != NULL;
 		char *slash = strrchr(parts[i], '/');
 		uint64_t *incarnation;
 
 		if (slash == NULL)
 			continue;
 		*slash = '\0';
-		if (gone && c != NULL) {
-			add_gone(c, parts[i] + 1, strtoull(slash + 1, NULL, 16),
+		if (dead && c != NULL) {
+			add_dead_incarnation(c, parts[i] + 1, strtoull(slash + 1, NULL, 16),
 				strtoll(strchr(slash + 1, '@') + 1, NULL, 10));
-		} else if (!gone) {
+		} else if (!dead) {
 			incarnation = xmalloc(sizeof(*incarnation));
 			*incarnation = strtoull(slash + 1, NULL, 16);
 			g_hash_table_replace(table, g_strdup(parts[i]), incarnation);
@@ -136,22 +139,22 @@
 	}
 }
 
-/* The term has been won: start to settle. */
+/* Start a term that this process has won, and begin to settle. */
 void coord_begin(struct coord *c, int64_t now, int64_t wall, uint64_t term, const char *roster,
 	GPtrArray *records, const struct doc *doc)
 {
 	c->term = term;
-	c->began = now;
+	c->term_started_at = now;
 	c->wall = wall;
-	c->now_at_wall = now;
+	c->wall_sampled_at = now;
 	counter_set(&term_gauge, term);
-	parse_roster(c->old_roster, c, roster);
+	parse_roster(c->previous_roster, c, roster);
 	sched_set_settling(c->sched, true);
 	if (doc != NULL)
 		coord_set_doc(c, now, doc);
-	settle_load(c, now, records);
+	settle_load_records(c, now, records);
 	log_info("coord", "The term is ours; %u agents are expected. cell=%s term=%" PRIu64,
-		g_hash_table_size(c->old_roster), c->cell, term);
+		g_hash_table_size(c->previous_roster), c->cell, term);
 }
 
 /*
@@ -160,29 +163,28 @@
  */
 uint32_t coord_attempt_floor(const struct coord *c)
 {
-	return (uint32_t)c->term << COORD_TERM_SHIFT;
+	return (uint32_t)c->term << COORD_ATTEMPT_TERM_SHIFT;
 }
 
-/* The coordinator's term. */
+/* Return the coordinator's term, or 0 before one has started. */
 uint64_t coord_term(const struct coord *c)
 {
 	return c->term;
 }
 
-/* The core, for tests. */
+/* Return the scheduler, for tests. */
 struct sched *coord_sched(struct coord *c)
 {
 	return c->sched;
 }
 
-/* Whether jobs are placed. */
+/* Whether settling is over, so that jobs are placed. */
 bool coord_settled(const struct coord *c)
 {
 	return c->settled;
 }
 
-/* Whether an agent besides the named one is connected and takes work, so may coordinate next.
- */
+/* Whether an agent other than self is connected and takes work, so that it can take over. */
 bool coord_has_successor(struct coord *c, const char *self)
 {
 	GHashTableIter it;
@@ -198,7 +200,7 @@
 	return false;
 }
 
-/* How many jobs agents still wait for: they have not ended, or their end is not stored yet. */
+/* Count the jobs that run, and those whose end has not been stored and acknowledged. */
 size_t coord_open_jobs(const struct coord *c)
 {
 	GHashTableIter it;
@@ -214,19 +216,19 @@
 	return n;
 }
 
-/* Wall time of a monotonic one. */
+/* Convert a monotonic time to wall time. */
 int64_t coord_wall(const struct coord *c, int64_t now)
 {
-	return c->wall + now - c->now_at_wall;
+	return c->wall + now - c->wall_sampled_at;
 }
 
-/* Send a message; false where the peer is gone. */
+/* Send a message; false if the peer is not connected. */
 bool coord_send(struct coord *c, peer_id peer, const struct msg *m)
 {
 	return peer != PEER_NONE && c->ports.send(c->ports.arg, peer, m);
 }
 
-/* Add a line to the trail of job changes, within bounds. */
+/* Append a line to the audit log of job changes, which drops its oldest when full. */
 void coord_audit(struct coord *c, int64_t now, const char *what, const char *who,
 	const char *job, const char *detail)
 {
@@ -237,11 +239,11 @@
 
 	g_queue_push_tail(&c->audit, json_dumps(o, JSON_COMPACT));
 	json_decref(o);
-	if (c->audit.length > COORD_AUDIT_KEPT)
+	if (c->audit.length > COORD_AUDIT_LINES_MAX)
 		free(g_queue_pop_head(&c->audit));
 }
 
-/* Adopt a document; an older one is passed over. */
+/* Adopt a configuration document; one older than the current is ignored. */
 void coord_set_doc(struct coord *c, int64_t now, const struct doc *doc)
 {
 	if (doc->number < c->config_number)
@@ -250,10 +252,10 @@
 	c->grace = doc->grace;
 	sched_set_doc(c->sched, now, doc, c->cell);
 	if (c->settled)
-		coord_run(c, now);
+		coord_schedule(c, now);
 }
 
-/* Welcome an entry. */
+/* Register an entry and send it a welcome. */
 static void entry_hello(struct coord *c, peer_id peer)
 {
 	struct msg m = {.kind = MSG_WELCOME,
@@ -267,7 +269,7 @@
 	coord_send(c, peer, &m);
 }
 
-/* A peer introduced itself. */
+/* Handle the hello of a peer. */
 void coord_hello(struct coord *c, int64_t now, peer_id peer, const struct msg_hello *h)
 {
 	if (h->role == ROLE_AGENT)
@@ -276,7 +278,7 @@
 		entry_hello(c, peer);
 }
 
-/* A message of an agent or an entry. */
+/* Handle a message of an agent or an entry. */
 void coord_message(struct coord *c, int64_t now, peer_id peer, const struct msg *m)
 {
 	struct coord_agent *a = agent_by_peer(c, peer);
@@ -290,12 +292,13 @@
 	else if (m->kind == MSG_QUERY)
 		query_answer(c, now, peer, &m->query);
 	else
-		log_debug("coord", "A %s from a peer without a role was passed over.",
+		log_debug("coord",
+			"Ignored an unexpected %s from a peer whose role does not send it.",
 			msg_name(m->kind));
 	run_actions(c, now);
 }
 
-/* A connection is gone. */
+/* Handle a closed connection. */
 void coord_closed(struct coord *c, int64_t now, peer_id peer)
 {
 	struct coord_agent *a = agent_by_peer(c, peer);
@@ -306,7 +309,7 @@
 		g_hash_table_remove(c->entries, &peer);
 }
 
-/* Tell the entries what the cell looks like. */
+/* Send the load and the free capacity of the cell to all entries. */
 static void send_summary(struct coord *c, int64_t now)
 {
 	struct sched_free_view v;
@@ -335,37 +338,38 @@
 	c->last_summary = now;
 }
 
-/* Decide and act. */
-void coord_run(struct coord *c, int64_t now)
+/* Run the scheduler and carry out its actions. */
+void coord_schedule(struct coord *c, int64_t now)
 {
 	sched_run(c->sched, now);
 	run_actions(c, now);
 }
 
-/* Forget the incarnations that went long ago. */
-static void trim_gone(struct coord *c)
+/* Drop incarnations that died longer ago than COORD_DEAD_INCARNATION_TTL_MS. */
+static void expire_dead_incarnations(struct coord *c)
 {
-	int64_t oldest = c->wall / NSEC_PER_MSEC - COORD_GONE_KEPT_MS;
+	int64_t oldest = c->wall / NSEC_PER_MSEC - COORD_DEAD_INCARNATION_TTL_MS;
 
-	for (guint i = c->gone->len; i-- > 0;) {
-		if (((struct coord_gone *)c->gone->pdata[i])->wall_ms < oldest)
-			g_ptr_array_remove_index(c->gone, i);
+	for (guint i = c->dead_incarnations->len; i-- > 0;) {
+		if (((struct dead_incarnation *)c->dead_incarnations->pdata[i])->wall_ms <
+			oldest)
+			g_ptr_array_remove_index(c->dead_incarnations, i);
 	}
 }
 
-/* Enforce times and decide; call about ten times a second. */
+/* Enforce timeouts and run the scheduler; call about ten times a second. */
 void coord_tick(struct coord *c, int64_t now, int64_t wall)
 {
 	c->wall = wall;
-	c->now_at_wall = now;
+	c->wall_sampled_at = now;
 	settle_sweep(c, now);
 	agent_sweep(c, now);
 	run_sweep(c, now);
 	job_expire(c, now);
-	give_up_missing(c, now);
-	trim_gone(c);
-	coord_run(c, now);
-	if (now - c->last_summary >= SUMMARY_PERIOD)
+	declare_missing_agents_dead(c, now);
+	expire_dead_incarnations(c);
+	coord_schedule(c, now);
+	if (now - c->last_summary >= SUMMARY_PERIOD_NS)
 		send_summary(c, now);
 }
 
@@ -375,8 +379,8 @@
 }
 
 /*
- * The names and incarnations of all agents that are not dead, of those of the term before that
- * have not come yet, and of those that were not long ago; see parse_roster.
+ * Format the roster, see parse_roster: agents that are not dead, agents of the previous term
+ * that have not connected yet, and incarnations that died recently.
  */
 char *coord_roster(const struct coord *c)
 {
@@ -394,17 +398,17 @@
 			g_ptr_array_add(
 				names, g_strdup_printf("%s/%" PRIx64, a->name, a->incarnation));
 	}
-	g_hash_table_iter_init(&it, c->old_roster);
+	g_hash_table_iter_init(&it, c->previous_roster);
 	while (g_hash_table_iter_next(&it, &key, &value)) {
 		if (!g_hash_table_contains(c->agents, key))
 			g_ptr_array_add(names, g_strdup_printf("%s/%" PRIx64, (char *)key,
 						       *(uint64_t *)value));
 	}
-	for (guint i = 0; i < c->gone->len; i++) {
-		const struct coord_gone *g = c->gone->pdata[i];
+	for (guint i = 0; i < c->dead_incarnations->len; i++) {
+		const struct dead_incarnation *di = c->dead_incarnations->pdata[i];
 
-		g_ptr_array_add(names, g_strdup_printf("-%s/%" PRIx64 "@%" PRId64, g->name,
-					       g->incarnation, g->wall_ms));
+		g_ptr_array_add(names, g_strdup_printf("-%s/%" PRIx64 "@%" PRId64, di->name,
+					       di->incarnation, di->wall_ms));
 	}
 	g_ptr_array_sort(names, compare_names);
 	g_ptr_array_add(names, NULL);
@@ -415,19 +419,19 @@
 /* Whether the saved roster is out of date. */
 bool coord_roster_changed(const struct coord *c)
 {
-	g_autofree char *now = coord_roster(c);
+	g_autofree char *roster = coord_roster(c);
 
-	return c->settled && g_strcmp0(now, c->last_saved) != 0;
+	return c->settled && g_strcmp0(roster, c->saved_roster_text) != 0;
 }
 
-/* The roster has been saved: its workers may get any job. */
+/* Record that a roster was stored; workers of its agents may now get any job. */
 void coord_roster_saved(struct coord *c, const char *roster)
 {
 	GHashTableIter it;
 	gpointer value;
 
-	free(c->last_saved);
-	c->last_saved = xstrdup(roster);
+	free(c->saved_roster_text);
+	c->saved_roster_text = xstrdup(roster);
 	g_hash_table_remove_all(c->saved_roster);
 	parse_roster(c->saved_roster, NULL, roster);
 	g_hash_table_iter_init(&it, c->agents);
@@ -441,7 +445,7 @@
 	}
 }
 
-/* Whether the store can be reached; jobs that wait for a record to be written are told. */
+/* Record whether the store can be reached; durable jobs are refused while it cannot. */
 void coord_store_state(struct coord *c, int64_t now, bool up)
 {
 	(void)now;
