--- a/packages/daemon/wl-coord-private.h
+++ b/packages/daemon/wl-coord-private.h
@@ -3,16 +3,16 @@
 
 #include "wl-daemon.h"
 
-/* What wl-coord.c and wl-coord-inbox.c share. */
+/* Coordinator state and functions shared by wl-coord.c and wl-coord-inbox.c. */
 
-/* An agent that has introduced itself. */
-struct member {
+/* An agent that has sent a hello; peer is PEER_NONE while it is disconnected. */
+struct agent_conn {
 	char *node;
 	struct peer_net *net;
 	peer_id peer;
-	int64_t heard;
-	struct wl_msg held; /* a report that waits until the node's record is stored */
-	bool has_held;
+	int64_t last_heard;
+	struct wl_msg pending_report; /* a report deferred until the node's record is stored */
+	bool has_pending_report;
 };
 
 struct wl_coord {
@@ -24,38 +24,41 @@
 	uint64_t term;
 	int64_t term_revision;
 	int64_t lease;
-	int64_t confirmed;
-	bool keeping;
+	int64_t term_confirmed_at;
+	bool renewing_lease;
 	bool loaded;
 	bool stopping;
 	bool lost;
 	bool freed;
-	unsigned int calls;
-	int64_t watch_at;
+	unsigned int calls_in_flight;
+	int64_t watch_revision;
 	bool listing;
-	GHashTable *states;  /* stored progress by job id, until its job is read */
-	GHashTable *cancels; /* ids of jobs to be cancelled once they are read */
-	GPtrArray *members;
-	struct loop_timer *keep_timer;
+	GHashTable *stored_progress; /* encoded progress by job id, for jobs not read yet */
+	GHashTable *pending_cancels; /* ids of jobs to cancel once they are read */
+	GPtrArray *agents;
+	struct loop_timer *renew_timer;
 	struct loop_timer *sweep_timer;
 	struct loop_timer *pass_timer;
 	int64_t pass_ended;
-	int64_t pass_took;
+	int64_t pass_pause;
 	struct loop_timer *watch_timer;
-	unsigned int jobs;
+	unsigned int jobs_read;
 };
 
 /* wl-coord.c */
-/* A call of ours has ended; false where the coordinator is only waiting to be freed. */
+/*
+ * Accounts for the end of a store call. Returns false if the coordinator was already freed by
+ * its owner; it may have been deallocated then.
+ */
 bool coord_call_ended(struct wl_coord *c);
-/* Stop coordinating; the owner frees us. */
-void coord_lose(struct wl_coord *c, const char *why);
-/* Decide soon, if something came that may let work start. */
-void coord_pass_soon(struct wl_coord *c);
-/* Take the reports of agents that came before the jobs were read. */
-void coord_take_held(struct wl_coord *c);
+/* Reports the loss of the term to the owner, which then frees the coordinator. */
+void coord_lose_term(struct wl_coord *c, const char *why);
+/* Schedules a pass if an event since the last one may allow tasks to start. */
+void coord_request_pass(struct wl_coord *c);
+/* Processes the reports that agents sent before loading was complete. */
+void coord_apply_pending_reports(struct wl_coord *c);
 
-/* wl-coord-inbox.c: read what the store has, then follow what entries write. */
-void inbox_load(struct wl_coord *c);
+/* wl-coord-inbox.c: loads the state from the store, then watches the inbox keys. */
+void inbox_start(struct wl_coord *c);
 
 #endif
--- a/packages/daemon/wl-coord-records.c
+++ b/packages/daemon/wl-coord-records.c
@@ -92,14 +92,14 @@
 }
 
 /* A job's progress has changed. */
-void record_writer_dirty(struct record_writer *r, const char *id)
+void record_writer_mark_dirty(struct record_writer *r, const char *id)
 {
 	enqueue(r, record_get(r, id));
 	flush(r);
 }
 
 /* The record stands in the store with this revision. */
-void record_writer_known(struct record_writer *r, const char *id, int64_t revision)
+void record_writer_set_revision(struct record_writer *r, const char *id, int64_t revision)
 {
 	struct record *rec = record_get(r, id);
 
@@ -107,7 +107,7 @@
 }
 
 /* Remove all that is stored of a job. */
-void record_writer_remove(struct record_writer *r, const char *id)
+void record_writer_remove_job(struct record_writer *r, const char *id)
 {
 	struct record *rec = record_get(r, id);
 
@@ -142,7 +142,7 @@
 }
 
 /* A node may, or may no longer, run tasks: the next coordinator has to know before it does. */
-void record_writer_node(struct record_writer *r, const char *name, bool present)
+void record_writer_set_node(struct record_writer *r, const char *name, bool present)
 {
 	node_record_get(r, name)->want = present;
 	flush(r);
@@ -157,7 +157,7 @@
 }
 
 /* A node's record was found in the store. */
-void record_writer_node_found(struct record_writer *r, const char *name)
+void record_writer_add_stored_node(struct record_writer *r, const char *name)
 {
 	struct node_record *n = node_record_get(r, name);
 
--- a/packages/daemon/wl-coord.c
+++ b/packages/daemon/wl-coord.c
@@ -5,47 +5,45 @@
 #include <string.h>
 
 /*
- * The coordinator: reads the accepted jobs from the store, follows what entries write there,
- * and decides for the agents that have a connection to it. Its term is proved by renewing the
- * lease of its key: while that lease stands nobody else can have taken the key.
+ * The coordinator: reads the accepted jobs from the store, watches the keys that entries write,
+ * and schedules tasks on the agents connected to it. Each renewal of the lease on its key
+ * confirms its term: no other process can take the key before that lease expires.
  */
 
-COUNTER(passes_total, "damaskpath_passes_total", "Passes of the scheduler.");
-HISTOGRAM(pass_seconds, "damaskpath_pass_seconds", "Time of one pass of the scheduler.");
-
-#define CONFIG_PERIOD NSEC_PER_SEC
-#define KEEP_PERIOD   (700 * NSEC_PER_MSEC)
-#define SWEEP_PERIOD  (500 * NSEC_PER_MSEC)
-/* An agent reports about once a second; after this it is taken to be out of reach. */
-#define AGENT_SILENCE (3500 * NSEC_PER_MSEC)
-/* No starts are ordered on a term that the store has not confirmed for so long. */
-#define START_AGE_MAX (3 * NSEC_PER_SEC)
-/* A lease of a run on a worker whose clock is slow, and what a message may take. */
-#define LEASE_SLACK (400 * NSEC_PER_MSEC)
-/* The rest after a pass is as long as the pass, and no longer than this. */
-#define PASS_REST_MAX (100 * NSEC_PER_MSEC)
-/* Room for callers that ask for a job's state late. */
-#define RETENTION_EXTRA (30 * NSEC_PER_SEC)
-
-static void coord_release(struct wl_coord *c);
+COUNTER(passes_total, "damaskpath_passes_total", "Scheduling passes.");
+HISTOGRAM(pass_seconds, "damaskpath_pass_seconds", "Duration of a scheduling pass.");
+
+#define CONFIG_PERIOD	   NSEC_PER_SEC
+#define LEASE_RENEW_PERIOD (700 * NSEC_PER_MSEC)
+#define SWEEP_PERIOD	   (500 * NSEC_PER_MSEC)
+/* An agent reports about once a second; one silent for this long is considered unreachable. */
+#define AGENT_TIMEOUT (3500 * NSEC_PER_MSEC)
+/* No tasks are started if the store last confirmed the term longer ago than this. */
+#define START_TERM_AGE_MAX (3 * NSEC_PER_SEC)
+/* Allows for message delay and for a worker whose clock runs slow. */
+#define LEASE_MARGIN (400 * NSEC_PER_MSEC)
+/* The pause after a pass is as long as the pass, up to this limit. */
+#define PASS_PAUSE_MAX (100 * NSEC_PER_MSEC)
+/* Keeps ended jobs longer than promised, for callers that query the state late. */
+#define RETENTION_MARGIN (30 * NSEC_PER_SEC)
+
+static void coord_free_if_idle(struct wl_coord *c);
 
 uint64_t wl_coord_term(const struct wl_coord *c)
 {
 	return c->term;
 }
 
-/* A call of ours has ended; false where the coordinator is only waiting to be freed. */
 bool coord_call_ended(struct wl_coord *c)
 {
-	c->calls--;
+	c->calls_in_flight--;
 	if (!c->freed)
 		return true;
-	coord_release(c);
+	coord_free_if_idle(c);
 	return false;
 }
 
-/* Stop coordinating; the owner frees us. */
-void coord_lose(struct wl_coord *c, const char *why)
+void coord_lose_term(struct wl_coord *c, const char *why)
 {
 	if (c->lost)
 		return;
@@ -54,22 +52,22 @@
 	c->ev.lost(c->ev.arg);
 }
 
-/* Find the member of a node. */
-static struct member *member_find(struct wl_coord *c, const char *node)
+/* Returns the agent of a node, or NULL if it has not sent a hello. */
+static struct agent_conn *agent_find(struct wl_coord *c, const char *node)
 {
-	for (guint i = 0; i < c->members->len; i++) {
-		struct member *m = c->members->pdata[i];
+	for (guint i = 0; i < c->agents->len; i++) {
+		struct agent_conn *agent = c->agents->pdata[i];
 
-		if (strcmp(m->node, node) == 0)
-			return m;
+		if (strcmp(agent->node, node) == 0)
+			return agent;
 	}
 	return NULL;
 }
 
-/* Send a message to a node's agent; dropped where it has no connection. */
-static void send_node(struct wl_coord *c, const char *node, const struct wl_msg *m)
+/* Sends a message to a node's agent, or drops it if the agent is not connected. */
+static void send_to_node(struct wl_coord *c, const char *node, const struct wl_msg *m)
 {
-	struct member *to = member_find(c, node);
+	struct agent_conn *to = agent_find(c, node);
 	struct bytes body;
 
 	if (to == NULL || to->peer == PEER_NONE)
@@ -79,55 +77,55 @@
 	bytes_clear(&body);
 }
 
-/* The core's orders. */
+/* Callbacks by which the scheduler sends its orders to agents. */
 static void order_start(void *arg, const char *node, const struct wl_start_order *o)
 {
 	struct wl_msg m = {.kind = WL_MSG_START, .start = *o};
 
-	send_node(arg, node, &m);
+	send_to_node(arg, node, &m);
 }
 
 static void order_stop(void *arg, const char *node, const struct wl_stop_order *o)
 {
 	struct wl_msg m = {.kind = WL_MSG_STOP, .stop = *o};
 
-	send_node(arg, node, &m);
+	send_to_node(arg, node, &m);
 }
 
 static void order_pace(void *arg, const char *node, const struct wl_pace_order *o)
 {
 	struct wl_msg m = {.kind = WL_MSG_PACE, .pace = *o};
 
-	send_node(arg, node, &m);
+	send_to_node(arg, node, &m);
 }
 
-static void mark_dirty(void *arg, const char *id)
+static void on_job_dirty(void *arg, const char *id)
 {
 	struct wl_coord *c = arg;
 
-	record_writer_dirty(c->records, id);
+	record_writer_mark_dirty(c->records, id);
 }
 
-/* Age of the last proof of the term. */
+/* Time since the store last confirmed the term. */
 static int64_t term_age(const struct wl_coord *c)
 {
-	return loop_now(c->p->loop) - c->confirmed;
+	return loop_now(c->p->loop) - c->term_confirmed_at;
 }
 
 static void schedule_pass(struct wl_coord *c, int64_t delay);
 
-/* Decide. */
-static void run_pass(void *arg)
+/* Runs a scheduling pass if the term is fresh enough, and schedules the next one. */
+static void on_pass_timer(void *arg)
 {
 	struct wl_coord *c = arg;
 	int64_t now = loop_now(c->p->loop);
 	int64_t next = NSEC_PER_SEC;
 
 	c->pass_timer = NULL;
-	if (c->loaded && !c->stopping && !c->lost && term_age(c) < START_AGE_MAX) {
+	if (c->loaded && !c->stopping && !c->lost && term_age(c) < START_TERM_AGE_MAX) {
 		next = wl_pass(c->wl, now, clock_wall(loop_clock(c->p->loop)));
 		c->pass_ended = loop_now(c->p->loop);
-		c->pass_took = MIN(c->pass_ended - now, PASS_REST_MAX);
+		c->pass_pause = MIN(c->pass_ended - now, PASS_PAUSE_MAX);
 		counter_add(&passes_total, 1);
 		histogram_add(&pass_seconds, c->pass_ended - now);
 	}
@@ -135,41 +133,41 @@
 		schedule_pass(c, next);
 }
 
-/* Have a pass after a delay, or sooner where one is due sooner. */
+/* Schedules the next pass after a delay, replacing one already scheduled. */
 static void schedule_pass(struct wl_coord *c, int64_t delay)
 {
 	if (c->pass_timer != NULL)
 		loop_timer_del(c->p->loop, c->pass_timer);
-	c->pass_timer = loop_timer_add(c->p->loop, delay, 0, run_pass, c);
+	c->pass_timer = loop_timer_add(c->p->loop, delay, 0, on_pass_timer, c);
 }
 
 /*
- * Something came: decide soon if it may let work start. Passes take at most half of the time,
- * so that messages are not kept waiting where a pass is long.
+ * The pause between passes limits them to about half of the process's time, so that long passes
+ * do not delay messages.
  */
-void coord_pass_soon(struct wl_coord *c)
+void coord_request_pass(struct wl_coord *c)
 {
 	if (wl_wants_pass(c->wl))
-		schedule_pass(c, MAX(c->pass_ended + c->pass_took - loop_now(c->p->loop), 0));
+		schedule_pass(c, MAX(c->pass_ended + c->pass_pause - loop_now(c->p->loop), 0));
 }
 
-/* Tell agents up to where the ends that they listed are stored. */
-static void tell_stored(struct wl_coord *c)
+/* Tells each agent up to which number the run ends that it reported are stored. */
+static void send_stored(struct wl_coord *c)
 {
-	for (guint i = 0; i < c->members->len; i++) {
-		struct member *m = c->members->pdata[i];
+	for (guint i = 0; i < c->agents->len; i++) {
+		struct agent_conn *agent = c->agents->pdata[i];
 		struct wl_msg msg = {.kind = WL_MSG_STORED, .stored.term = c->term};
 		const char *life;
 
-		if (!wl_node_stored(c->wl, m->node, &life, &msg.stored.number))
+		if (!wl_node_stored(c->wl, agent->node, &life, &msg.stored.number))
 			continue;
 		msg.stored.life = (char *)life;
-		send_node(c, m->node, &msg);
+		send_to_node(c, agent->node, &msg);
 	}
 }
 
-/* Answer to a report: alive, and how fresh our term is. */
-static void send_beat(struct wl_coord *c, const struct member *m, uint64_t echo)
+/* Replies to an agent with the age of the term and the number of the last start order. */
+static void send_beat(struct wl_coord *c, const struct agent_conn *agent, uint64_t echo)
 {
 	struct wl_msg msg = {.kind = WL_MSG_LEAD_BEAT,
 		.lead_beat = {.term = c->term,
@@ -178,205 +176,209 @@
 			.echo_ns = echo,
 			.ordinal = wl_ordinal(c->wl)}};
 
-	send_node(c, m->node, &msg);
+	send_to_node(c, agent->node, &msg);
 }
 
-/* Let the core see a report. */
-static void take_report(struct wl_coord *c, const struct wl_report *r)
+/* Passes a report to the scheduler. */
+static void apply_report(struct wl_coord *c, const struct wl_report *r)
 {
 	wl_node_report(c->wl, loop_now(c->p->loop), clock_wall(loop_clock(c->p->loop)), r);
-	tell_stored(c);
-	coord_pass_soon(c);
+	send_stored(c);
+	coord_request_pass(c);
 }
 
-/* Records were stored: reports that waited for them, and ends that may be forgotten. */
-static void on_stored(void *arg)
+/* Records were stored: processes the reports that waited for them and acknowledges run ends. */
+static void on_records_stored(void *arg)
 {
 	struct wl_coord *c = arg;
 
-	for (guint i = 0; i < c->members->len; i++) {
-		struct member *m = c->members->pdata[i];
+	for (guint i = 0; i < c->agents->len; i++) {
+		struct agent_conn *agent = c->agents->pdata[i];
 
-		if (!m->has_held || !record_writer_has_node(c->records, m->node))
+		if (!agent->has_pending_report ||
+			!record_writer_has_node(c->records, agent->node))
 			continue;
-		m->has_held = false;
-		take_report(c, &m->held.report);
-		wl_msg_clear(&m->held);
+		agent->has_pending_report = false;
+		apply_report(c, &agent->pending_report.report);
+		wl_msg_clear(&agent->pending_report);
 	}
-	tell_stored(c);
-	coord_pass_soon(c);
+	send_stored(c);
+	coord_request_pass(c);
 }
 
-static void on_records_lost(void *arg)
+static void on_term_superseded(void *arg)
 {
-	coord_lose(arg, "the store has another term");
+	coord_lose_term(arg, "a write found another term in the store");
 }
 
-/* A report: the node has to be on record before it may get tasks. */
-static void on_report(struct wl_coord *c, struct member *m, struct wl_msg *msg)
+/*
+ * Handles a report. It is deferred until the node's record is stored: a node gets no tasks
+ * before that, so that the next coordinator knows of every node that may run some.
+ */
+static void on_report(struct wl_coord *c, struct agent_conn *agent, struct wl_msg *msg)
 {
-	if (msg->report.node == NULL || strcmp(msg->report.node, m->node) != 0)
+	if (msg->report.node == NULL || strcmp(msg->report.node, agent->node) != 0)
 		return;
-	send_beat(c, m, msg->report.sent_ns);
-	if (m->has_held)
-		wl_msg_clear(&m->held);
-	m->has_held = false;
-	if (c->loaded && record_writer_has_node(c->records, m->node)) {
-		take_report(c, &msg->report);
+	send_beat(c, agent, msg->report.sent_ns);
+	if (agent->has_pending_report)
+		wl_msg_clear(&agent->pending_report);
+	agent->has_pending_report = false;
+	if (c->loaded && record_writer_has_node(c->records, agent->node)) {
+		apply_report(c, &msg->report);
 		return;
 	}
-	m->held = *msg;
-	m->has_held = true;
+	agent->pending_report = *msg;
+	agent->has_pending_report = true;
 	memset(msg, 0, sizeof(*msg));
 	if (c->loaded)
-		record_writer_node(c->records, m->node, true);
+		record_writer_set_node(c->records, agent->node, true);
 }
 
-/* An agent introduces itself. */
+/* Registers an agent; a newer connection of the same node replaces the older one. */
 static void on_hello(
 	struct wl_coord *c, struct peer_net *net, peer_id peer, const struct wl_hello *h)
 {
-	struct member *m;
+	struct agent_conn *agent;
 
 	if (h->node == NULL)
 		return;
-	m = member_find(c, h->node);
-	if (m == NULL) {
-		m = xcalloc(1, sizeof(*m));
-		m->node = xstrdup(h->node);
-		g_ptr_array_add(c->members, m);
+	agent = agent_find(c, h->node);
+	if (agent == NULL) {
+		agent = xcalloc(1, sizeof(*agent));
+		agent->node = xstrdup(h->node);
+		g_ptr_array_add(c->agents, agent);
 	}
-	if (m->peer != PEER_NONE && m->peer != peer)
-		peer_close(m->net, m->peer);
-	m->net = net;
-	m->peer = peer;
-	m->heard = loop_now(c->p->loop);
-	send_beat(c, m, 0);
+	if (agent->peer != PEER_NONE && agent->peer != peer)
+		peer_close(agent->net, agent->peer);
+	agent->net = net;
+	agent->peer = peer;
+	agent->last_heard = loop_now(c->p->loop);
+	send_beat(c, agent, 0);
 }
 
-/* A message of an agent. */
+/* Handles a message from an agent; those from unknown peers or for another term are ignored. */
 void wl_coord_message(
 	struct wl_coord *c, struct peer_net *net, peer_id peer, struct wl_msg *msg)
 {
-	struct member *m = NULL;
+	struct agent_conn *agent = NULL;
 
 	if (msg->kind == WL_MSG_HELLO) {
 		on_hello(c, net, peer, &msg->hello);
 		return;
 	}
-	for (guint i = 0; i < c->members->len && m == NULL; i++) {
-		if (((struct member *)c->members->pdata[i])->peer == peer)
-			m = c->members->pdata[i];
+	for (guint i = 0; i < c->agents->len && agent == NULL; i++) {
+		if (((struct agent_conn *)c->agents->pdata[i])->peer == peer)
+			agent = c->agents->pdata[i];
 	}
-	if (m == NULL)
+	if (agent == NULL)
 		return;
-	m->heard = loop_now(c->p->loop);
+	agent->last_heard = loop_now(c->p->loop);
 	if (msg->kind == WL_MSG_PING) {
-		send_beat(c, m, msg->ping.sent_ns);
+		send_beat(c, agent, msg->ping.sent_ns);
 	} else if (msg->kind == WL_MSG_REPORT && msg->report.term == c->term) {
-		on_report(c, m, msg);
+		on_report(c, agent, msg);
 	} else if (msg->kind == WL_MSG_ANSWER && msg->answer.term == c->term) {
-		wl_node_answer(c->wl, m->heard, &msg->answer);
-		coord_pass_soon(c);
+		wl_node_answer(c->wl, agent->last_heard, &msg->answer);
+		coord_request_pass(c);
 	}
 }
 
-/* A node's connection is gone or silent. */
-static void member_silent(struct wl_coord *c, struct member *m)
+/* Marks an agent as disconnected after its connection closed or timed out. */
+static void agent_disconnected(struct wl_coord *c, struct agent_conn *agent)
 {
-	m->peer = PEER_NONE;
-	if (m->has_held)
-		wl_msg_clear(&m->held);
-	m->has_held = false;
-	wl_node_silent(c->wl, loop_now(c->p->loop), m->node);
-	coord_pass_soon(c);
+	agent->peer = PEER_NONE;
+	if (agent->has_pending_report)
+		wl_msg_clear(&agent->pending_report);
+	agent->has_pending_report = false;
+	wl_node_silent(c->wl, loop_now(c->p->loop), agent->node);
+	coord_request_pass(c);
 }
 
-/* A connection is closed. */
 void wl_coord_closed(struct wl_coord *c, peer_id peer)
 {
-	for (guint i = 0; i < c->members->len; i++) {
-		struct member *m = c->members->pdata[i];
+	for (guint i = 0; i < c->agents->len; i++) {
+		struct agent_conn *agent = c->agents->pdata[i];
 
-		if (m->peer == peer && peer != PEER_NONE)
-			member_silent(c, m);
+		if (agent->peer == peer && peer != PEER_NONE)
+			agent_disconnected(c, agent);
 	}
 }
 
-/* The store answered to a renewal. */
-static void kept(const struct kv_result *r, void *arg)
+/*
+ * Handles the reply to a lease renewal. The term is confirmed as of when the request was sent,
+ * since the lease may have been renewed any time after that.
+ */
+static void on_lease_renewed(const struct kv_result *r, void *arg)
 {
 	struct wl_coord *c = arg;
 
-	c->keeping = false;
+	c->renewing_lease = false;
 	if (!coord_call_ended(c))
 		return;
 	if (r->status == KV_OK)
-		c->confirmed = MAX(c->confirmed, r->sent);
+		c->term_confirmed_at = MAX(c->term_confirmed_at, r->sent);
 	else if (r->status == KV_MISSING)
-		coord_lose(c, "its lease has run out");
+		coord_lose_term(c, "lease expired");
 }
 
-/* Renew the lease of our key. */
-static void keep(void *arg)
+/* Renews the lease on the coordinator's key. */
+static void renew_lease(void *arg)
 {
 	struct wl_coord *c = arg;
 
-	if (c->keeping || c->lost || c->stopping)
+	if (c->renewing_lease || c->lost || c->stopping)
 		return;
-	c->keeping = true;
-	c->calls++;
-	kv_lease_keep(c->p->kv, c->lease, kept, c);
+	c->renewing_lease = true;
+	c->calls_in_flight++;
+	kv_lease_keep(c->p->kv, c->lease, on_lease_renewed, c);
 }
 
-/* Look after silent agents, what has run out, and what need not be remembered. */
-static void sweep(void *arg)
+/* Disconnects silent agents, and removes the records of gone nodes and expired jobs. */
+static void on_sweep_timer(void *arg)
 {
 	struct wl_coord *c = arg;
 	int64_t now = loop_now(c->p->loop);
-	g_autoptr(GPtrArray) gone = NULL;
+	g_autoptr(GPtrArray) gone_nodes = NULL;
 	g_autoptr(GPtrArray) expired = NULL;
 
-	for (guint i = 0; i < c->members->len; i++) {
-		struct member *m = c->members->pdata[i];
+	for (guint i = 0; i < c->agents->len; i++) {
+		struct agent_conn *agent = c->agents->pdata[i];
 
-		if (m->peer == PEER_NONE || now - m->heard < AGENT_SILENCE)
+		if (agent->peer == PEER_NONE || now - agent->last_heard < AGENT_TIMEOUT)
 			continue;
-		peer_close(m->net, m->peer);
-		member_silent(c, m);
+		peer_close(agent->net, agent->peer);
+		agent_disconnected(c, agent);
 	}
 	if (!c->loaded || c->lost)
 		return;
-	gone = wl_nodes_gone(c->wl, now);
-	for (guint i = 0; i < gone->len; i++) {
-		record_writer_node(c->records, gone->pdata[i], false);
-		coord_pass_soon(c);
+	gone_nodes = wl_nodes_gone(c->wl, now);
+	for (guint i = 0; i < gone_nodes->len; i++) {
+		record_writer_set_node(c->records, gone_nodes->pdata[i], false);
+		coord_request_pass(c);
 	}
 	expired = wl_jobs_expired(c->wl, clock_wall(loop_clock(c->p->loop)));
 	for (guint i = 0; i < expired->len; i++)
-		record_writer_remove(c->records, expired->pdata[i]);
+		record_writer_remove_job(c->records, expired->pdata[i]);
 }
 
-/* Agents that reported before the jobs were read. */
-void coord_take_held(struct wl_coord *c)
+void coord_apply_pending_reports(struct wl_coord *c)
 {
-	for (guint i = 0; i < c->members->len; i++) {
-		struct member *m = c->members->pdata[i];
+	for (guint i = 0; i < c->agents->len; i++) {
+		struct agent_conn *agent = c->agents->pdata[i];
 
-		if (!m->has_held)
+		if (!agent->has_pending_report)
 			continue;
-		if (!record_writer_has_node(c->records, m->node)) {
-			record_writer_node(c->records, m->node, true);
+		if (!record_writer_has_node(c->records, agent->node)) {
+			record_writer_set_node(c->records, agent->node, true);
 			continue;
 		}
-		m->has_held = false;
-		take_report(c, &m->held.report);
-		wl_msg_clear(&m->held);
+		agent->has_pending_report = false;
+		apply_report(c, &agent->pending_report.report);
+		wl_msg_clear(&agent->pending_report);
 	}
 }
 
-/* Free a stored progress. */
-static void states_free(void *arg)
+static void stored_progress_free(void *arg)
 {
 	struct bytes *b = arg;
 
@@ -384,16 +386,16 @@
 	free(b);
 }
 
-/* Another configuration is in force. */
+/* Applies a changed configuration. */
 static void on_config(void *arg)
 {
 	struct wl_coord *c = arg;
 
 	wl_set_config(c->wl, config_feed_get(c->feed));
-	coord_pass_soon(c);
+	coord_request_pass(c);
 }
 
-/* Coordinate under a term that was taken with this lease. */
+/* Starts coordinating under a term that was acquired with this lease. */
 struct wl_coord *wl_coord_new(struct wl_process *p, uint64_t term, int64_t term_revision,
 	int64_t lease, const struct wl_coord_events *ev)
 {
@@ -404,12 +406,12 @@
 		.remote_penalty = s->remote_penalty,
 		.restore = s->restore,
 		.reclaim_max = s->reclaim_max,
-		.silence_max = AUTHORITY_MAX + s->hold_max + s->hold_max / 50 + LEASE_SLACK,
-		.retention = s->ended_visible + RETENTION_EXTRA};
+		.silence_max = AUTHORITY_MAX + s->hold_max + s->hold_max / 50 + LEASE_MARGIN,
+		.retention = s->ended_visible + RETENTION_MARGIN};
 	const struct wl_out out = {.start = order_start,
 		.stop = order_stop,
 		.pace = order_pace,
-		.dirty = mark_dirty,
+		.dirty = on_job_dirty,
 		.arg = c};
 
 	c->p = p;
@@ -417,21 +419,23 @@
 	c->term = term;
 	c->term_revision = term_revision;
 	c->lease = lease;
-	c->confirmed = loop_now(p->loop);
-	c->members = g_ptr_array_new();
-	c->states = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, states_free);
-	c->cancels = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+	c->term_confirmed_at = loop_now(p->loop);
+	c->agents = g_ptr_array_new();
+	c->stored_progress =
+		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, stored_progress_free);
+	c->pending_cancels = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	c->wl = wl_new(term, &limits, &out);
-	c->records = record_writer_new(p, c->wl, term_revision, on_stored, on_records_lost, c);
+	c->records = record_writer_new(
+		p, c->wl, term_revision, on_records_stored, on_term_superseded, c);
 	c->feed = config_feed_new(p, CONFIG_PERIOD, on_config, c);
-	c->keep_timer = loop_timer_add(p->loop, KEEP_PERIOD, KEEP_PERIOD, keep, c);
-	c->sweep_timer = loop_timer_add(p->loop, SWEEP_PERIOD, SWEEP_PERIOD, sweep, c);
-	inbox_load(c);
+	c->renew_timer =
+		loop_timer_add(p->loop, LEASE_RENEW_PERIOD, LEASE_RENEW_PERIOD, renew_lease, c);
+	c->sweep_timer = loop_timer_add(p->loop, SWEEP_PERIOD, SWEEP_PERIOD, on_sweep_timer, c);
+	inbox_start(c);
 	return c;
 }
 
-/* The lease was given back. */
-static void ended(const struct kv_result *r, void *arg)
+static void on_lease_revoked(const struct kv_result *r, void *arg)
 {
 	struct wl_coord *c = arg;
 
@@ -439,17 +443,20 @@
 	coord_call_ended(c);
 }
 
-/* Hand over: no more orders, agents are told, and the lease is given back for the next one. */
+/*
+ * Stops giving orders, tells the agents, and revokes the lease so that another process can take
+ * over at once.
+ */
 void wl_coord_stop(struct wl_coord *c)
 {
 	if (c->stopping)
 		return;
 	c->stopping = true;
-	for (guint i = 0; i < c->members->len; i++)
-		send_beat(c, c->members->pdata[i], 0);
-	event_log(EV_TERM_LOST, "term=%" PRIu64 " why=\"the process stops\"", c->term);
-	c->calls++;
-	kv_lease_end(c->p->kv, c->lease, ended, c);
+	for (guint i = 0; i < c->agents->len; i++)
+		send_beat(c, c->agents->pdata[i], 0);
+	event_log(EV_TERM_LOST, "term=%" PRIu64 " why=\"process is stopping\"", c->term);
+	c->calls_in_flight++;
+	kv_lease_end(c->p->kv, c->lease, on_lease_revoked, c);
 }
 
 bool wl_coord_idle(const struct wl_coord *c)
@@ -457,37 +464,37 @@
 	return c->stopping && record_writer_idle(c->records);
 }
 
-/* Free what is left once no call is under way. */
-static void coord_release(struct wl_coord *c)
+/* Frees the remaining state once no store call is in flight. */
+static void coord_free_if_idle(struct wl_coord *c)
 {
-	if (c->calls > 0)
+	if (c->calls_in_flight > 0)
 		return;
-	for (guint i = 0; i < c->members->len; i++) {
-		struct member *m = c->members->pdata[i];
+	for (guint i = 0; i < c->agents->len; i++) {
+		struct agent_conn *agent = c->agents->pdata[i];
 
-		if (m->has_held)
-			wl_msg_clear(&m->held);
-		free(m->node);
-		free(m);
+		if (agent->has_pending_report)
+			wl_msg_clear(&agent->pending_report);
+		free(agent->node);
+		free(agent);
 	}
-	g_ptr_array_unref(c->members);
-	g_hash_table_destroy(c->states);
-	g_hash_table_destroy(c->cancels);
+	g_ptr_array_unref(c->agents);
+	g_hash_table_destroy(c->stored_progress);
+	g_hash_table_destroy(c->pending_cancels);
 	free(c);
 }
 
-/* Free a coordinator; calls that are under way finish first. */
+/* Frees a coordinator; the last part waits for the store calls in flight. */
 void wl_coord_free(struct wl_coord *c)
 {
 	if (c == NULL || c->freed)
 		return;
 	c->freed = true;
-	loop_timer_del(c->p->loop, c->keep_timer);
+	loop_timer_del(c->p->loop, c->renew_timer);
 	loop_timer_del(c->p->loop, c->sweep_timer);
 	loop_timer_del(c->p->loop, c->pass_timer);
 	loop_timer_del(c->p->loop, c->watch_timer);
 	record_writer_free(c->records);
 	config_feed_free(c->feed);
 	wl_free(c->wl);
-	coord_release(c);
+	coord_free_if_idle(c);
 }
--- a/packages/daemon/wl-daemon.h
+++ b/packages/daemon/wl-daemon.h
@@ -109,12 +109,12 @@
 struct record_writer *record_writer_new(struct wl_process *p, struct wl *wl,
 	int64_t term_revision, record_stored_fn *stored, loop_fn *lost, void *arg);
 void record_writer_free(struct record_writer *r);
-void record_writer_dirty(struct record_writer *r, const char *id);
-void record_writer_known(struct record_writer *r, const char *id, int64_t revision);
-void record_writer_remove(struct record_writer *r, const char *id);
-void record_writer_node(struct record_writer *r, const char *node, bool present);
+void record_writer_mark_dirty(struct record_writer *r, const char *id);
+void record_writer_set_revision(struct record_writer *r, const char *id, int64_t revision);
+void record_writer_remove_job(struct record_writer *r, const char *id);
+void record_writer_set_node(struct record_writer *r, const char *node, bool present);
 bool record_writer_has_node(const struct record_writer *r, const char *node);
-void record_writer_node_found(struct record_writer *r, const char *node);
+void record_writer_add_stored_node(struct record_writer *r, const char *node);
 bool record_writer_idle(const struct record_writer *r);
 
 /* wl-agent.c */
