--- a/packages/daemon/wl-coord-inbox.c
+++ b/packages/daemon/wl-coord-inbox.c
@@ -5,18 +5,19 @@
 #include <string.h>
 
 /*
- * The coordinator's reading: nodes, progress and inbox once, page by page, then the inbox's
- * changes.
+ * What the coordinator reads from the store: first all nodes, progress records and inbox items,
+ * page by page, then a watch on the inbox prefix, which holds the jobs and cancellations that
+ * entries write.
  */
 
-/* A watch that is silent for longer may be dead; a new one is cheap. */
+/* A watch without events for longer may be on a dead connection; a new one is cheap. */
 #define WATCH_TIMEOUT_MS  1500
 #define STORE_RETRY_DELAY (200 * NSEC_PER_MSEC)
 
 static void watch_inbox(struct wl_coord *c);
 static void list_inbox(struct wl_coord *c, const char *after);
 
-/* Take a job that an entry has stored. */
+/* Adds a job that an entry has stored, with its progress if there is any. */
 static void read_job(struct wl_coord *c, const struct kv_item *it)
 {
 	struct wl_spec spec = {0};
@@ -33,7 +34,7 @@
 	if (!fields_decode(&wl_spec_fields, &spec, it->value.data, it->value.len, &err) ||
 		!wl_spec_check(&spec, &err) || strcmp(spec.id, id) != 0) {
 		event_log(EV_BAD_INPUT, "from=store what=\"%s: %s\"", it->key,
-			err != NULL ? err->message : "another id");
+			err != NULL ? err->message : "job id does not match its key");
 		fields_clear(&wl_spec_fields, &spec);
 		return;
 	}
@@ -63,7 +64,7 @@
 		wl_job_cancel(c->wl, now, clock_wall(loop_clock(c->p->loop)), id);
 }
 
-/* Cancel a job, or keep the wish until the job is read: its key may come first. */
+/* Cancels a job, or remembers the cancellation if its key was read before the job's. */
 static void read_cancel(struct wl_coord *c, const char *id)
 {
 	if (wl_job_has(c->wl, id))
@@ -73,7 +74,7 @@
 		g_hash_table_add(c->pending_cancels, g_strdup(id));
 }
 
-/* Take one entry of the inbox. */
+/* Dispatches an inbox item by its key. */
 static void read_inbox_item(struct wl_coord *c, const struct kv_item *it)
 {
 	if (it->deleted)
@@ -83,11 +84,10 @@
 	} else if (g_str_has_prefix(it->key, KEY_CANCEL)) {
 		read_cancel(c, it->key + strlen(KEY_CANCEL));
 	} else if (strcmp(it->key, KEY_TERM) == 0 && it->revision > c->term_revision) {
-		coord_lose_term(c, "another term was taken");
+		coord_lose_term(c, "another process acquired a term");
 	}
 }
 
-/* Watch again after a pause. */
 static void on_watch_timer(void *arg)
 {
 	struct wl_coord *c = arg;
@@ -96,7 +96,10 @@
 	watch_inbox(c);
 }
 
-/* The inbox has changed, or has not for a while. */
+/*
+ * Handles inbox changes or the timeout of a watch. If the history after the watched revision is
+ * gone, the inbox is listed again.
+ */
 static void on_watch_result(const struct kv_result *r, void *arg)
 {
 	struct wl_coord *c = arg;
@@ -129,7 +132,6 @@
 			r->status == KV_UNSURE ? 0 : STORE_RETRY_DELAY, 0, on_watch_timer, c);
 }
 
-/* Wait for changes of the inbox. */
 static void watch_inbox(struct wl_coord *c)
 {
 	if (c->lost || c->freed)
@@ -138,7 +140,7 @@
 	kv_watch(c->p->kv, KEY_INBOX, c->watch_revision, WATCH_TIMEOUT_MS, on_watch_result, c);
 }
 
-/* All is read. */
+/* All pages were read: on the first load, announces the term and processes deferred reports. */
 static void on_inbox_complete(struct wl_coord *c)
 {
 	if (!c->loaded) {
@@ -152,7 +154,6 @@
 	watch_inbox(c);
 }
 
-/* Read a page again after a pause. */
 static void on_inbox_retry(void *arg)
 {
 	struct wl_coord *c = arg;
@@ -161,19 +162,22 @@
 	list_inbox(c, NULL);
 }
 
-/* Whether a page was read; where the store did not give it, again is called after a pause. */
-static bool check_page(struct wl_coord *c, const struct kv_result *r, loop_fn *again)
+/* Returns whether a page was read; if the store failed, schedules retry after a delay. */
+static bool check_page(struct wl_coord *c, const struct kv_result *r, loop_fn *retry)
 {
 	if (!coord_call_ended(c) || c->lost)
 		return false;
 	if (r->status == KV_OK)
 		return true;
 	c->watch_revision = 0;
-	c->watch_timer = loop_timer_add(c->p->loop, STORE_RETRY_DELAY, 0, again, c);
+	c->watch_timer = loop_timer_add(c->p->loop, STORE_RETRY_DELAY, 0, retry, c);
 	return false;
 }
 
-/* One page of the inbox was read. */
+/*
+ * Processes a page of the inbox. The watch starts at the revision of the first page, so that
+ * changes made during the listing are not missed.
+ */
 static void on_inbox_page(const struct kv_result *r, void *arg)
 {
 	struct wl_coord *c = arg;
@@ -192,7 +196,7 @@
 		on_inbox_complete(c);
 }
 
-/* Read the inbox from behind a key. */
+/* Lists the inbox after a key, or from its start if after is NULL. */
 static void list_inbox(struct wl_coord *c, const char *after)
 {
 	c->calls_in_flight++;
@@ -202,7 +206,6 @@
 static void list_progress(struct wl_coord *c, const char *after);
 static void list_nodes(struct wl_coord *c, const char *after);
 
-/* Begin to load again after a pause. */
 static void on_load_retry(void *arg)
 {
 	struct wl_coord *c = arg;
@@ -211,7 +214,7 @@
 	list_nodes(c, NULL);
 }
 
-/* One page of the progress records was read. */
+/* Keeps a page of progress records until their jobs are read. */
 static void on_progress_page(const struct kv_result *r, void *arg)
 {
 	struct wl_coord *c = arg;
@@ -238,7 +241,10 @@
 	kv_list(c->p->kv, KEY_PROGRESS, after, KV_READ_EXACT, on_progress_page, c);
 }
 
-/* One page of the nodes was read. */
+/*
+ * Processes a page of nodes. Each may still run tasks for an earlier coordinator and is
+ * expected to report.
+ */
 static void on_nodes_page(const struct kv_result *r, void *arg)
 {
 	struct wl_coord *c = arg;
@@ -263,7 +269,6 @@
 	kv_list(c->p->kv, KEY_NODE, after, KV_READ_EXACT, on_nodes_page, c);
 }
 
-/* Read all, from the nodes on. */
 void inbox_start(struct wl_coord *c)
 {
 	list_nodes(c, NULL);
