--- a/packages/daemon/wl-config-feed.c
+++ b/packages/daemon/wl-config-feed.c
@@ -4,11 +4,12 @@
 #include <stdlib.h>
 
 /*
- * The configuration is known by its revision: a transaction without writes, on the condition
- * that the revision still stands, proves it without sending the document, and brings the new
- * one where it does not.
+ * Keeps the configuration up to date by its revision in the store. A transaction without
+ * writes, conditional on the known revision, verifies it without transferring the document; if
+ * the revision has changed, the reply holds the new document.
  */
 
+/* A caller of config_feed_prove that waits for a check sent at or after since. */
 struct waiter {
 	int64_t since;
 	loop_fn *fn;
@@ -23,17 +24,17 @@
 	void *arg;
 	int64_t period;
 	int64_t revision;
-	int64_t proved;
-	int64_t asked;
-	bool asking;
-	bool lost;
+	int64_t verified_at;
+	int64_t check_sent_at;
+	bool check_in_flight;
+	bool store_lost;
 	bool freed;
 	GArray *waiters;
 };
 
-static void ask(struct config_feed *f);
+static void check_revision(struct config_feed *f);
 
-/* The newest configuration, or NULL before the first. */
+/* Returns the newest configuration, or NULL if none was read yet. */
 const struct wl_config *config_feed_get(const struct config_feed *f)
 {
 	return f->config;
@@ -41,16 +42,19 @@
 
 int64_t config_feed_age(const struct config_feed *f)
 {
-	return f->proved == 0 ? INT64_MAX : loop_now(f->p->loop) - f->proved;
+	return f->verified_at == 0 ? INT64_MAX : loop_now(f->p->loop) - f->verified_at;
 }
 
 int64_t config_feed_proved(const struct config_feed *f)
 {
-	return f->proved;
+	return f->verified_at;
 }
 
-/* Put a document in force, unless it is older than what we have. */
-static void adopt(struct config_feed *f, const struct kv_item *item)
+/*
+ * Applies a document that is newer than the current one. An invalid document is logged and the
+ * last valid one stays in force.
+ */
+static void apply_document(struct config_feed *f, const struct kv_item *item)
 {
 	g_autoptr(GError) err = NULL;
 	struct wl_config *old = f->config;
@@ -72,26 +76,25 @@
 	wl_config_free(old);
 }
 
-/* Take what an answer shows of the configuration. */
 void config_feed_offer(struct config_feed *f, const struct kv_result *r)
 {
 	if (r->status == KV_OK)
-		f->proved = MAX(f->proved, r->sent);
+		f->verified_at = MAX(f->verified_at, r->sent);
 	for (size_t i = 0; i < r->items_len; i++) {
 		if (g_strcmp0(r->items[i].key, PF_CONFIG_KEY) != 0)
 			continue;
-		adopt(f, &r->items[i]);
-		f->proved = MAX(f->proved, r->sent);
+		apply_document(f, &r->items[i]);
+		f->verified_at = MAX(f->verified_at, r->sent);
 	}
 }
 
-/* Call those whose wish is met, or all of them. */
-static void wake(struct config_feed *f, bool all)
+/* Calls the waiters whose condition is met, or all of them. */
+static void notify_waiters(struct config_feed *f, bool all)
 {
 	for (guint i = 0; i < f->waiters->len;) {
 		struct waiter w = g_array_index(f->waiters, struct waiter, i);
 
-		if (!all && f->proved < w.since) {
+		if (!all && f->verified_at < w.since) {
 			i++;
 			continue;
 		}
@@ -100,71 +103,72 @@
 	}
 }
 
-/* The store answered. */
-static void answered(const struct kv_result *r, void *arg)
+/*
+ * Handles the reply to a check. If the store is unreachable, all waiters are called, and decide
+ * by the age of the configuration.
+ */
+static void on_check_reply(const struct kv_result *r, void *arg)
 {
 	struct config_feed *f = arg;
 	bool ok = r->status == KV_OK || r->status == KV_CONFLICT;
 
-	f->asking = false;
+	f->check_in_flight = false;
 	if (f->freed) {
 		config_feed_free(f);
 		return;
 	}
 	config_feed_offer(f, r);
-	if (ok && f->lost)
+	if (ok && f->store_lost)
 		event_log(EV_STORE_BACK, "gap_ms=%" PRId64,
-			(loop_now(f->p->loop) - f->asked) / NSEC_PER_MSEC);
-	if (!ok && !f->lost)
+			(loop_now(f->p->loop) - f->check_sent_at) / NSEC_PER_MSEC);
+	if (!ok && !f->store_lost)
 		event_log(EV_STORE_LOST, "call=config status=%s age_ms=%" PRId64,
 			kv_status_name(r->status),
-			f->proved > 0 ? config_feed_age(f) / NSEC_PER_MSEC : -1);
-	f->lost = !ok;
-	wake(f, !ok);
+			f->verified_at > 0 ? config_feed_age(f) / NSEC_PER_MSEC : -1);
+	f->store_lost = !ok;
+	notify_waiters(f, !ok);
 	if (f->waiters->len > 0)
-		ask(f);
+		check_revision(f);
 }
 
-/* Ask whether the revision still stands. */
-static void ask(struct config_feed *f)
+/* Verifies the revision, or reads the document if none is known. One check runs at a time. */
+static void check_revision(struct config_feed *f)
 {
 	struct kv_txn t = {.expect_len = 1};
 
-	if (f->asking)
+	if (f->check_in_flight)
 		return;
-	f->asking = true;
-	f->asked = loop_now(f->p->loop);
+	f->check_in_flight = true;
+	f->check_sent_at = loop_now(f->p->loop);
 	if (f->revision == 0) {
-		kv_get(f->p->kv, PF_CONFIG_KEY, KV_READ_EXACT, answered, f);
+		kv_get(f->p->kv, PF_CONFIG_KEY, KV_READ_EXACT, on_check_reply, f);
 		return;
 	}
 	t.expect[0] = (struct kv_expect){PF_CONFIG_KEY, f->revision};
-	kv_commit(f->p->kv, &t, answered, f);
+	kv_commit(f->p->kv, &t, on_check_reply, f);
 }
 
-/* The proof grows old. */
 static void on_timer(void *arg)
 {
 	struct config_feed *f = arg;
 
 	if (config_feed_age(f) >= f->period)
-		ask(f);
+		check_revision(f);
 }
 
-/* Have a proof that was asked for after since. */
 void config_feed_prove(struct config_feed *f, int64_t since, loop_fn *fn, void *arg)
 {
 	struct waiter w = {.since = since, .fn = fn, .arg = arg};
 
-	if (f->proved >= since) {
+	if (f->verified_at >= since) {
 		fn(arg);
 		return;
 	}
 	g_array_append_val(f->waiters, w);
-	ask(f);
+	check_revision(f);
 }
 
-/* Follow the configuration; a proof is never older than period while the store answers. */
+/* Verifies the configuration at least about once per period while the store answers. */
 struct config_feed *config_feed_new(
 	struct wl_process *p, int64_t period, loop_fn *changed, void *arg)
 {
@@ -176,11 +180,11 @@
 	f->period = period;
 	f->waiters = g_array_new(FALSE, FALSE, sizeof(struct waiter));
 	f->timer = loop_timer_add(p->loop, period / 4, period / 4, on_timer, f);
-	ask(f);
+	check_revision(f);
 	return f;
 }
 
-/* Free a feed, once its call under way has ended. */
+/* Frees a feed; if a check is in flight, its reply frees the memory. */
 void config_feed_free(struct config_feed *f)
 {
 	if (f == NULL)
@@ -189,7 +193,7 @@
 	if (f->timer != NULL)
 		loop_timer_del(f->p->loop, f->timer);
 	f->timer = NULL;
-	if (f->asking)
+	if (f->check_in_flight)
 		return;
 	g_array_unref(f->waiters);
 	wl_config_free(f->config);
