--- a/packages/daemon/wl-coord-records.c
+++ b/packages/daemon/wl-coord-records.c
@@ -5,31 +5,32 @@
 #include <string.h>
 
 /*
- * Progress goes into the store in batches, one transaction at a time, each on the condition
- * that our term still stands and that each record is as we know it: a write whose answer was
- * lost may be carried out late, and must not undo a newer one.
+ * Writes job progress to the store in batches, one transaction at a time. Each is conditional
+ * on the coordinator's term and on the known revision of each record that it writes: a write
+ * whose reply was lost may still be executed later, and must not overwrite a newer one.
  */
 
-#define RETRY_PAUSE (150 * NSEC_PER_MSEC)
+#define RETRY_DELAY (150 * NSEC_PER_MSEC)
 
 HISTOGRAM(record_seconds, "damaskpath_record_seconds",
 	"Time from a change of a job's progress until it is stored.");
 
-/* What is to be done with a job's record. */
+/* Write state of a job's progress record. */
 struct record {
 	char *id;
 	int64_t revision;
 	int64_t dirty_since;
 	bool dirty;
 	bool remove;
-	/* In the transaction that is under way. */
+	/* Part of the transaction in flight, which writes this version of the progress. */
 	bool in_flight;
 	uint64_t version;
 };
 
+/* A node's key in the store, which exists while the node may run tasks. */
 struct node_record {
 	char *name;
-	bool want;
+	bool should_exist;
 	bool stored;
 	bool in_flight;
 };
@@ -38,14 +39,14 @@
 	struct wl_process *p;
 	struct wl *wl;
 	int64_t term_revision;
-	record_stored_fn *stored;
-	loop_fn *lost;
+	record_stored_fn *on_stored;
+	loop_fn *on_term_lost;
 	void *arg;
 	GHashTable *records;
 	GPtrArray *nodes;
-	GQueue queue; /* ids of dirty records, oldest first */
-	bool busy;
-	bool dead;
+	GQueue queue; /* dirty records, oldest first */
+	bool commit_in_flight;
+	bool term_lost;
 	bool freed;
 	struct loop_timer *retry;
 };
@@ -68,7 +69,7 @@
 	free(n);
 }
 
-/* Find a record or make it. */
+/* Returns the record of a job, creating it if needed. */
 static struct record *record_get(struct record_writer *r, const char *id)
 {
 	struct record *rec = g_hash_table_lookup(r->records, id);
@@ -81,7 +82,7 @@
 	return rec;
 }
 
-/* Queue a record that is to be written. */
+/* Queues a record for writing, unless it is queued already. */
 static void enqueue(struct record_writer *r, struct record *rec)
 {
 	if (rec->dirty)
@@ -91,14 +92,14 @@
 	g_queue_push_tail(&r->queue, rec);
 }
 
-/* A job's progress has changed. */
+/* Queues a job's changed progress for writing. */
 void record_writer_mark_dirty(struct record_writer *r, const char *id)
 {
 	enqueue(r, record_get(r, id));
 	flush(r);
 }
 
-/* The record stands in the store with this revision. */
+/* Notes the revision at which a job's record was read from the store. */
 void record_writer_set_revision(struct record_writer *r, const char *id, int64_t revision)
 {
 	struct record *rec = record_get(r, id);
@@ -106,7 +107,7 @@
 	rec->revision = MAX(rec->revision, revision);
 }
 
-/* Remove all that is stored of a job. */
+/* Removes the job, its progress and its cancellation from the store. */
 void record_writer_remove_job(struct record_writer *r, const char *id)
 {
 	struct record *rec = record_get(r, id);
@@ -116,7 +117,6 @@
 	flush(r);
 }
 
-/* Find a node's record. */
 static struct node_record *node_record_find(const struct record_writer *r, const char *name)
 {
 	for (guint i = 0; i < r->nodes->len; i++) {
@@ -128,7 +128,7 @@
 	return NULL;
 }
 
-/* Find a node's record or make it. */
+/* Returns the record of a node, creating it if needed. */
 static struct node_record *node_record_get(struct record_writer *r, const char *name)
 {
 	struct node_record *n = node_record_find(r, name);
@@ -141,36 +141,38 @@
 	return n;
 }
 
-/* A node may, or may no longer, run tasks: the next coordinator has to know before it does. */
+/*
+ * Adds or removes a node's key in the store. It must exist before the node runs tasks, so that
+ * the next coordinator expects a report from it.
+ */
 void record_writer_set_node(struct record_writer *r, const char *name, bool present)
 {
-	node_record_get(r, name)->want = present;
+	node_record_get(r, name)->should_exist = present;
 	flush(r);
 }
 
-/* Whether the store says that a node may run tasks. */
+/* Whether a node's key is stored and is not about to be removed. */
 bool record_writer_has_node(const struct record_writer *r, const char *name)
 {
 	const struct node_record *n = node_record_find(r, name);
 
-	return n != NULL && n->stored && n->want;
+	return n != NULL && n->stored && n->should_exist;
 }
 
-/* A node's record was found in the store. */
+/* Notes that a node's key was found in the store. */
 void record_writer_add_stored_node(struct record_writer *r, const char *name)
 {
 	struct node_record *n = node_record_get(r, name);
 
 	n->stored = true;
-	n->want = true;
+	n->should_exist = true;
 }
 
 bool record_writer_idle(const struct record_writer *r)
 {
-	return !r->busy;
+	return !r->commit_in_flight;
 }
 
-/* Try again after a pause. */
 static void on_retry(void *arg)
 {
 	struct record_writer *r = arg;
@@ -179,8 +181,8 @@
 	flush(r);
 }
 
-/* What a transaction in flight did for one record. */
-static void settle_record(
+/* Handles the result of a transaction for one record; after a failure it is queued again. */
+static void complete_record(
 	struct record_writer *r, struct record *rec, const struct kv_result *res)
 {
 	rec->in_flight = false;
@@ -199,47 +201,50 @@
 	wl_job_stored(r->wl, loop_now(r->p->loop), rec->id, rec->version);
 }
 
-/* Learn the revisions that a refused transaction shows; false where the term is not ours. */
-static bool learn(struct record_writer *r, const struct kv_result *res)
+/* Takes the current revisions from a conflict; returns false if the store has another term. */
+static bool update_revisions(struct record_writer *r, const struct kv_result *res)
 {
-	bool ours = true;
+	bool term_matches = true;
 
 	for (size_t i = 0; i < res->items_len; i++) {
 		const struct kv_item *it = &res->items[i];
 
 		if (strcmp(it->key, KEY_TERM) == 0)
-			ours = it->revision == r->term_revision;
+			term_matches = it->revision == r->term_revision;
 		else if (g_str_has_prefix(it->key, KEY_PROGRESS))
 			record_get(r, it->key + strlen(KEY_PROGRESS))->revision = it->revision;
 	}
-	return ours;
+	return term_matches;
 }
 
-/* The transaction under way has ended. */
-static void written(const struct kv_result *res, void *arg)
+/*
+ * Handles the end of a transaction. A conflict is retried at once with the new revisions, any
+ * other failure after a delay.
+ */
+static void on_commit_reply(const struct kv_result *res, void *arg)
 {
 	struct record_writer *r = arg;
 	GHashTableIter it;
 	gpointer value;
-	g_autoptr(GPtrArray) settled = g_ptr_array_new();
+	g_autoptr(GPtrArray) completed = g_ptr_array_new();
 
-	r->busy = false;
+	r->commit_in_flight = false;
 	if (r->freed) {
 		record_writer_free(r);
 		return;
 	}
-	if (res->status == KV_CONFLICT && !learn(r, res)) {
-		r->dead = true;
-		r->lost(r->arg);
+	if (res->status == KV_CONFLICT && !update_revisions(r, res)) {
+		r->term_lost = true;
+		r->on_term_lost(r->arg);
 		return;
 	}
 	g_hash_table_iter_init(&it, r->records);
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
 		if (((struct record *)value)->in_flight)
-			g_ptr_array_add(settled, value);
+			g_ptr_array_add(completed, value);
 	}
-	for (guint i = 0; i < settled->len; i++)
-		settle_record(r, settled->pdata[i], res);
+	for (guint i = 0; i < completed->len; i++)
+		complete_record(r, completed->pdata[i], res);
 	for (guint i = 0; i < r->nodes->len; i++) {
 		struct node_record *n = r->nodes->pdata[i];
 
@@ -248,21 +253,21 @@
 		n->in_flight = false;
 	}
 	if (res->status == KV_OK)
-		r->stored(r->arg);
+		r->on_stored(r->arg);
 	if (res->status == KV_OK || res->status == KV_CONFLICT)
 		flush(r);
 	else if (r->retry == NULL)
-		r->retry = loop_timer_add(r->p->loop, RETRY_PAUSE, 0, on_retry, r);
+		r->retry = loop_timer_add(r->p->loop, RETRY_DELAY, 0, on_retry, r);
 }
 
-/* Strings and values of a transaction until it is sent. */
+/* A transaction and the keys and values it refers to, which must live until it is sent. */
 struct batch {
 	struct kv_txn txn;
-	GPtrArray *texts;
+	GPtrArray *keys;
 	GPtrArray *values;
 };
 
-static void value_free(void *arg)
+static void batch_value_free(void *arg)
 {
 	struct bytes *b = arg;
 
@@ -270,33 +275,33 @@
 	free(b);
 }
 
-/* A key that lives as long as the batch. */
+/* Returns a key that is freed with the batch. */
 static const char *batch_key(struct batch *b, const char *prefix, const char *name)
 {
 	char *key;
 
 	xasprintf(&key, "%s%s", prefix, name);
-	g_ptr_array_add(b->texts, key);
+	g_ptr_array_add(b->keys, key);
 	return key;
 }
 
-/* Entries that a batch has used. */
-static size_t used(const struct batch *b)
+/* Number of conditions and operations in a batch. */
+static size_t batch_len(const struct batch *b)
 {
 	return b->txn.expect_len + b->txn.write_len + b->txn.remove_len;
 }
 
-/* Put the nodes that changed into a batch. */
+/* Adds the nodes whose keys have to be written or removed. */
 static void add_nodes(struct record_writer *r, struct batch *b)
 {
-	for (guint i = 0; i < r->nodes->len && used(b) < KV_TXN_MAX; i++) {
+	for (guint i = 0; i < r->nodes->len && batch_len(b) < KV_TXN_MAX; i++) {
 		struct node_record *n = r->nodes->pdata[i];
 		const char *key;
 
-		if (n->want == n->stored)
+		if (n->should_exist == n->stored)
 			continue;
 		key = batch_key(b, KEY_NODE, n->name);
-		if (n->want)
+		if (n->should_exist)
 			b->txn.write[b->txn.write_len++] = (struct kv_write){key, "", 0, 0};
 		else
 			b->txn.remove[b->txn.remove_len++] = key;
@@ -304,7 +309,7 @@
 	}
 }
 
-/* Put one record into a batch. */
+/* Adds one record; a job without progress to store is skipped. */
 static void add_record(struct record_writer *r, struct batch *b, struct record *rec)
 {
 	const char *key = batch_key(b, KEY_PROGRESS, rec->id);
@@ -328,38 +333,42 @@
 	rec->in_flight = true;
 }
 
-/* Write what has changed, unless a write is under way. */
+/*
+ * Commits the pending changes, up to the size limit of a transaction, unless one is in flight
+ * or a retry is scheduled. A record takes up to three operations: removing a job deletes three
+ * keys.
+ */
 static void flush(struct record_writer *r)
 {
-	struct batch b = {.texts = g_ptr_array_new_with_free_func(free),
-		.values = g_ptr_array_new_with_free_func(value_free)};
+	struct batch b = {.keys = g_ptr_array_new_with_free_func(free),
+		.values = g_ptr_array_new_with_free_func(batch_value_free)};
 
 	b.txn.expect[0] = (struct kv_expect){KEY_TERM, r->term_revision};
 	b.txn.expect_len = 1;
-	if (!r->busy && !r->dead && r->retry == NULL) {
+	if (!r->commit_in_flight && !r->term_lost && r->retry == NULL) {
 		add_nodes(r, &b);
-		while (!g_queue_is_empty(&r->queue) && used(&b) + 3 <= KV_TXN_MAX)
+		while (!g_queue_is_empty(&r->queue) && batch_len(&b) + 3 <= KV_TXN_MAX)
 			add_record(r, &b, g_queue_pop_head(&r->queue));
 		if (b.txn.write_len + b.txn.remove_len > 0) {
-			r->busy = true;
-			kv_commit(r->p->kv, &b.txn, written, r);
+			r->commit_in_flight = true;
+			kv_commit(r->p->kv, &b.txn, on_commit_reply, r);
 		}
 	}
-	g_ptr_array_unref(b.texts);
+	g_ptr_array_unref(b.keys);
 	g_ptr_array_unref(b.values);
 }
 
-/* A writer for one term. */
+/* Creates a writer whose transactions are conditional on the revision of the term. */
 struct record_writer *record_writer_new(struct wl_process *p, struct wl *wl,
-	int64_t term_revision, record_stored_fn *stored, loop_fn *lost, void *arg)
+	int64_t term_revision, record_stored_fn *on_stored, loop_fn *on_term_lost, void *arg)
 {
 	struct record_writer *r = xcalloc(1, sizeof(*r));
 
 	r->p = p;
 	r->wl = wl;
 	r->term_revision = term_revision;
-	r->stored = stored;
-	r->lost = lost;
+	r->on_stored = on_stored;
+	r->on_term_lost = on_term_lost;
 	r->arg = arg;
 	r->records = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, record_free);
 	r->nodes = g_ptr_array_new_with_free_func(node_record_free);
@@ -367,7 +376,7 @@
 	return r;
 }
 
-/* Free a writer, once the transaction under way has ended. */
+/* Frees a writer; if a transaction is in flight, its reply frees the memory. */
 void record_writer_free(struct record_writer *r)
 {
 	if (r == NULL)
@@ -376,7 +385,7 @@
 	if (r->retry != NULL)
 		loop_timer_del(r->p->loop, r->retry);
 	r->retry = NULL;
-	if (r->busy)
+	if (r->commit_in_flight)
 		return;
 	g_queue_clear(&r->queue);
 	g_hash_table_destroy(r->records);
--- a/packages/daemon/wl-daemon.h
+++ b/packages/daemon/wl-daemon.h
@@ -107,7 +107,7 @@
 struct record_writer;
 typedef void record_stored_fn(void *arg);
 struct record_writer *record_writer_new(struct wl_process *p, struct wl *wl,
-	int64_t term_revision, record_stored_fn *stored, loop_fn *lost, void *arg);
+	int64_t term_revision, record_stored_fn *on_stored, loop_fn *on_term_lost, void *arg);
 void record_writer_free(struct record_writer *r);
 void record_writer_mark_dirty(struct record_writer *r, const char *id);
 void record_writer_set_revision(struct record_writer *r, const char *id, int64_t revision);
