--- a/packages/daemon/wl-detour.c
+++ b/packages/daemon/wl-detour.c
@@ -5,24 +5,24 @@
 #include <string.h>
 
 /*
- * An entry's way round to a store that does not serve its VM: the coordinator has to reach the
- * store to be one, so its process carries the entry's calls. Its address is read from the store
- * now and then; a connection is kept open, as the first refused call has no time to wait for
- * one.
+ * Detour: relays an entry's store calls through the coordinator's process when the store does
+ * not serve the entry's VM. The coordinator must be able to reach the store to keep its term.
+ * Its address is read from the store periodically, and a connection to it is kept open, because
+ * a call that the store has just refused has no time left to wait for one.
  */
 
 COUNTER(detour_links_total, "damaskpath_detour_links_total",
-	"Connections opened for a detour.");
+	"Connections opened to relay store calls through the coordinator.");
 
-/* The address may be so old; while the store does not answer this is also the probe of it. */
-#define LOOK_PERIOD NSEC_PER_SEC
-#define DIAL_LIMIT  (500 * NSEC_PER_MSEC)
-#define TICK	    (100 * NSEC_PER_MSEC)
+/* How often the address is read; while the store is unreachable this also probes it. */
+#define ADDR_READ_PERIOD NSEC_PER_SEC
+#define CONNECT_TIMEOUT	 (500 * NSEC_PER_MSEC)
+#define TICK_PERIOD	 (100 * NSEC_PER_MSEC)
 
-/* A call on its way through the coordinator's process. */
+/* A call that was sent to the coordinator's process and has no reply yet. */
 struct detour_call {
 	uint64_t number;
-	int64_t until;
+	int64_t deadline;
 	pf_detour_fn *fn;
 	void *arg;
 };
@@ -33,16 +33,16 @@
 	struct loop_timer *timer;
 	char *addr;
 	peer_id peer;
-	bool is_open;
-	int64_t dialled_at;
-	int64_t looked_at;
-	bool looking;
+	bool connected;
+	int64_t connect_started_at;
+	int64_t addr_read_sent_at;
+	bool addr_read_in_flight;
 	uint64_t number;
 	GArray *calls;
 };
 
-/* End calls: all, or those whose time is over; how many. */
-static guint end_calls(struct wl_detour *d, int64_t until)
+/* Fails the calls whose deadline is at or before now; returns how many there were. */
+static guint expire_calls(struct wl_detour *d, int64_t now)
 {
 	const struct bytes none = {0};
 	guint ended = 0;
@@ -50,7 +50,7 @@
 	for (guint i = 0; i < d->calls->len;) {
 		struct detour_call c = g_array_index(d->calls, struct detour_call, i);
 
-		if (c.until > until) {
+		if (c.deadline > now) {
 			i++;
 			continue;
 		}
@@ -61,71 +61,71 @@
 	return ended;
 }
 
-/* Give the connection up. */
-static void drop(struct wl_detour *d)
+/* Closes the connection and fails all its calls. */
+static void disconnect(struct wl_detour *d)
 {
 	peer_id peer = d->peer;
 
 	d->peer = PEER_NONE;
-	d->is_open = false;
+	d->connected = false;
 	if (peer != PEER_NONE)
 		peer_close(d->net, peer);
-	end_calls(d, INT64_MAX);
+	expire_calls(d, INT64_MAX);
 }
 
-/* The store names the coordinator. */
-static void looked(const struct kv_result *r, void *arg)
+/* Takes the coordinator's address from the store; a changed one drops the old connection. */
+static void on_addr_read(const struct kv_result *r, void *arg)
 {
 	struct wl_detour *d = arg;
 
-	d->looking = false;
+	d->addr_read_in_flight = false;
 	if (r->status != KV_OK || r->items_len == 0)
 		return;
 	if (d->addr != NULL && strlen(d->addr) == r->items[0].value.len &&
 		memcmp(d->addr, r->items[0].value.data, r->items[0].value.len) == 0)
 		return;
-	drop(d);
+	disconnect(d);
 	free(d->addr);
 	d->addr = xcalloc(1, r->items[0].value.len + 1);
 	memcpy(d->addr, r->items[0].value.data, r->items[0].value.len);
 }
 
-/* Look the address up, end calls whose time is over, keep the connection open. */
-static void tick(void *arg)
+/* Reads the address when due, expires calls and reconnects. */
+static void on_tick(void *arg)
 {
 	struct wl_detour *d = arg;
 	int64_t now = loop_now(d->p->loop);
 
-	if (!d->looking && now - d->looked_at >= LOOK_PERIOD) {
-		d->looking = true;
-		d->looked_at = now;
-		kv_get(d->p->kv, KEY_LEAD, KV_READ_STALE, looked, d);
+	if (!d->addr_read_in_flight && now - d->addr_read_sent_at >= ADDR_READ_PERIOD) {
+		d->addr_read_in_flight = true;
+		d->addr_read_sent_at = now;
+		kv_get(d->p->kv, KEY_LEAD, KV_READ_STALE, on_addr_read, d);
 	}
-	/* A connection that brings no answer may be dead without a reset. */
-	if (end_calls(d, now) > 0 ||
-		(d->peer != PEER_NONE && !d->is_open && now - d->dialled_at > DIAL_LIMIT))
-		drop(d);
-	if (d->peer == PEER_NONE && d->addr != NULL && now - d->dialled_at >= DIAL_LIMIT) {
+	/* A connection on which a call expires may be dead without having been reset. */
+	if (expire_calls(d, now) > 0 || (d->peer != PEER_NONE && !d->connected &&
+						now - d->connect_started_at > CONNECT_TIMEOUT))
+		disconnect(d);
+	if (d->peer == PEER_NONE && d->addr != NULL &&
+		now - d->connect_started_at >= CONNECT_TIMEOUT) {
 		counter_add(&detour_links_total, 1);
-		d->dialled_at = now;
+		d->connect_started_at = now;
 		d->peer = peer_dial(d->net, d->addr, NULL);
 	}
 }
 
-/* Whether calls can go this way. */
 static bool detour_open(void *arg)
 {
-	return ((struct wl_detour *)arg)->is_open;
+	return ((struct wl_detour *)arg)->connected;
 }
 
-/* Send a call; without an answer in its time it ends as that. */
+/* Sends a call; it fails with status 0 if no reply arrives within timeout. */
 static void detour_send(void *arg, const char *method, const char *path,
 	const struct bytes *body, int64_t timeout, pf_detour_fn *fn, void *fn_arg)
 {
 	struct wl_detour *d = arg;
 	int64_t now = loop_now(d->p->loop);
 	struct detour_call c = {
-		.number = ++d->number, .until = now + timeout, .fn = fn, .arg = fn_arg};
+		.number = ++d->number, .deadline = now + timeout, .fn = fn, .arg = fn_arg};
 	const struct wl_msg m = {.kind = WL_MSG_STORE_CALL,
 		.store_call = {.number = c.number,
 			.method = (char *)method,
@@ -139,18 +139,17 @@
 	bytes_clear(&out);
 }
 
-/* The connection is open. */
 static void on_opened(void *arg, peer_id peer, bool dialled)
 {
 	struct wl_detour *d = arg;
 
 	if (!dialled || peer != d->peer)
 		return;
-	d->is_open = true;
+	d->connected = true;
 	event_log(EV_DETOUR, "addr=%s open=1", d->addr);
 }
 
-/* An answer that the coordinator's process brings. */
+/* Completes the call to which the reply belongs; a late reply matches none and is ignored. */
 static void on_message(void *arg, peer_id peer, const uint8_t *body, size_t len)
 {
 	struct wl_detour *d = arg;
@@ -174,7 +173,6 @@
 	wl_msg_clear(&m);
 }
 
-/* The connection is gone. */
 static void on_closed(void *arg, peer_id peer, const GError *why)
 {
 	struct wl_detour *d = arg;
@@ -183,23 +181,23 @@
 		return;
 	event_log(EV_DETOUR, "addr=%s open=0 why=\"%s\"", d->addr,
 		why != NULL ? why->message : "closed");
-	drop(d);
+	disconnect(d);
 }
 
-/* Give the process's store client a way round. */
+/* Creates the detour and registers it with the process's store client. */
 struct wl_detour *wl_detour_new(struct wl_process *p)
 {
 	struct wl_detour *d = xcalloc(1, sizeof(*d));
 	const struct peer_events events = {
 		.opened = on_opened, .message = on_message, .closed = on_closed, .arg = d};
-	const struct pf_detour way = {.open = detour_open, .send = detour_send, .arg = d};
+	const struct pf_detour detour = {.open = detour_open, .send = detour_send, .arg = d};
 
 	d->p = p;
 	d->net = peer_net_new(p->loop, p->keys, &events);
 	d->calls = g_array_new(FALSE, FALSE, sizeof(struct detour_call));
-	d->dialled_at = -DIAL_LIMIT;
-	d->looked_at = -LOOK_PERIOD;
-	d->timer = loop_timer_add(p->loop, TICK, TICK, tick, d);
-	pf_store_set_detour(p->kv, &way);
+	d->connect_started_at = -CONNECT_TIMEOUT;
+	d->addr_read_sent_at = -ADDR_READ_PERIOD;
+	d->timer = loop_timer_add(p->loop, TICK_PERIOD, TICK_PERIOD, on_tick, d);
+	pf_store_set_detour(p->kv, &detour);
 	return d;
 }
