--- a/packages/daemon/wl-daemon.h
+++ b/packages/daemon/wl-daemon.h
@@ -7,7 +7,7 @@
 #include "transport.h"
 #include "workload.h"
 
-/* Keys of ours in the store. What entries write lies under one prefix, which is watched. */
+/* Store keys. The coordinator watches the inbox prefix, under which entries write. */
 #define KEY_INBOX    "dp/in/"
 #define KEY_JOB	     "dp/in/job/"
 #define KEY_CANCEL   "dp/in/cancel/"
@@ -16,7 +16,7 @@
 #define KEY_LEAD     "dp/lead"
 #define KEY_NODE     "dp/node/"
 
-/* What a process that serves the platform has. */
+/* Resources shared by the parts of a process, whatever its role. */
 struct wl_process {
 	struct loop *loop;
 	struct pf_settings settings;
@@ -25,22 +25,28 @@
 	struct keyring *keys;
 };
 
-/* wl-config-feed.c: the newest configuration and how long ago it was known to be the newest. */
+/* wl-config-feed.c: the newest configuration, and when it was last verified as such. */
 struct config_feed;
 struct config_feed *config_feed_new(
 	struct wl_process *p, int64_t period, loop_fn *changed, void *arg);
 void config_feed_free(struct config_feed *f);
 const struct wl_config *config_feed_get(const struct config_feed *f);
-/* Age of the last proof; INT64_MAX before the first. */
+/* Time since the last successful verification; INT64_MAX before the first. */
 int64_t config_feed_age(const struct config_feed *f);
-/* When the last proof was asked for, on the loop's clock; 0 before the first. */
+/* When the last successful verification was sent, on the loop's clock; 0 before the first. */
 int64_t config_feed_proved(const struct config_feed *f);
-/* A call that depended on the configuration showed what stands there, or that it holds. */
+/*
+ * Takes the result of a store call that was conditional on the configuration: a success
+ * verifies it, a conflict may hold a newer document.
+ */
 void config_feed_offer(struct config_feed *f, const struct kv_result *r);
-/* Have a proof that is newer than since; fn is called with it or when it cannot be had. */
+/*
+ * Makes sure that the configuration was verified by a request sent at or after since. fn is
+ * called once it was, at once if it has been already, or when the store cannot be reached.
+ */
 void config_feed_prove(struct config_feed *f, int64_t since, loop_fn *fn, void *arg);
 
-/* wl-detour.c: an entry's way to the store through the coordinator's process. */
+/* wl-detour.c: relays an entry's store calls through the coordinator's process. */
 struct wl_detour;
 struct wl_detour *wl_detour_new(struct wl_process *p);
 
@@ -51,7 +57,7 @@
 bool wl_entry_idle(const struct wl_entry *e);
 void wl_entry_free(struct wl_entry *e);
 
-/* wl-entry-job.c: one caller's request on its way. */
+/* wl-entry-job.c: a caller's request that is not answered yet. */
 struct entry_call {
 	struct wl_entry *entry;
 	struct http_request *request;
@@ -61,12 +67,12 @@
 	char *key;
 	struct wl_spec spec;
 	char *id;
-	const char *queue; /* a copy; the configuration may be replaced meanwhile */
+	const char *queue; /* a copy, as the configuration may be replaced during the call */
 	char *org;
 	int64_t arrived;
 	int64_t deadline;
 	unsigned int tries;
-	bool unsure;
+	bool unsure; /* a write got no usable reply; the job may have been stored */
 };
 struct wl_entry {
 	struct wl_process *p;
@@ -74,11 +80,11 @@
 	struct http_server *callers;
 	struct http_server *ready_server;
 	struct loop_timer *timer;
-	unsigned int open;
+	unsigned int open; /* calls not answered yet */
 	bool ready;
 	bool stopping;
 	int64_t stop_at;
-	/* Jobs of each queue that have not begun, as of depth_at. */
+	/* Number of jobs per queue that have not started, as of depth_at. */
 	GHashTable *depth;
 	GHashTable *depth_next;
 	int64_t depth_at;
@@ -88,9 +94,10 @@
 void entry_call_route(struct entry_call *c);
 void entry_call_deny(struct entry_call *c, int status, int retry_after_s, const char *reason);
 
-/* wl-coord.c: the coordinator, inside the agent that holds the term. */
+/* wl-coord.c: the coordinator, which runs in the agent that holds the term. */
 struct wl_coord;
 struct wl_coord_events {
+	/* The term is lost; the owner has to free the coordinator. */
 	void (*lost)(void *arg);
 	void *arg;
 };
@@ -103,7 +110,7 @@
 void wl_coord_message(struct wl_coord *c, struct peer_net *net, peer_id peer, struct wl_msg *m);
 void wl_coord_closed(struct wl_coord *c, peer_id peer);
 
-/* wl-coord-records.c: progress on its way into the store. */
+/* wl-coord-records.c: writes job progress and the list of nodes to the store. */
 struct record_writer;
 typedef void record_stored_fn(void *arg);
 struct record_writer *record_writer_new(struct wl_process *p, struct wl *wl,
@@ -124,13 +131,13 @@
 bool wl_agent_idle(const struct wl_agent *a);
 void wl_agent_free(struct wl_agent *a);
 
-/* wl-worker.c: the worker beside the agent. */
+/* wl-worker.c: the agent's client for the worker on the same VM. */
 struct wl_worker;
 struct wl_worker_events {
-	/* Its lists are new; covers and sent_ns are set. */
+	/* The worker's lists of runs were updated; covers and sent_ns are set. */
 	void (*report)(const struct wl_report *r, void *arg);
 	void (*answer)(const struct wl_answer_note *a, void *arg);
-	/* It has seen a higher fence than ours. */
+	/* The worker has seen a higher fencing token than this agent's. */
 	void (*fenced)(void *arg);
 	void *arg;
 };
@@ -138,20 +145,22 @@
 	struct wl_process *p, const struct wl_worker_events *ev, GError **err);
 void wl_worker_free(struct wl_worker *w);
 bool wl_worker_idle(const struct wl_worker *w);
-/* Orders are for one term; another term begins without what the last one had open. */
+/* Sets the coordinator's term, 0 for none; open starts of another term are dropped. */
 void wl_worker_follow(struct wl_worker *w, uint64_t term);
-/* Starts up to this number have come, or were lost on their way and never will. */
+/* Start orders up to this ordinal have arrived, or were lost in transit and will not arrive. */
 void wl_worker_ordered(struct wl_worker *w, uint64_t ordinal);
+/* Leases may be renewed until this time. */
 void wl_worker_authority(struct wl_worker *w, int64_t until);
 void wl_worker_start(struct wl_worker *w, const struct wl_start_order *o);
 void wl_worker_stop(struct wl_worker *w, const struct wl_stop_order *o);
 void wl_worker_pace(struct wl_worker *w, const struct wl_pace_order *o);
+/* The ends of runs up to this number are stored; the worker may forget them. */
 void wl_worker_stored(struct wl_worker *w, const struct wl_stored *s);
 
 /*
- * How long an agent renews leases on a coordinator's word after the store last confirmed its
- * term. Long enough for a takeover and an ordinary outage of the store; what runs on an agent
- * that is out of reach waits this and a lease before it may start elsewhere.
+ * How long an agent may renew leases after the store last confirmed the coordinator's term.
+ * Long enough to cover a takeover and a usual outage of the store. A task on an unreachable
+ * agent may be started elsewhere only after this time and a lease have passed.
  */
 #define AUTHORITY_MAX (4 * NSEC_PER_SEC)
 
