--- a/packages/standin/standin-platform.c
+++ b/packages/standin/standin-platform.c
@@ -7,30 +7,40 @@
 #include <unistd.h>
 
 /*
- * Stands in for the users' platform in tests: its store, and workers that run tasks under
- * leases. One process; all of it runs on one loop. POST /control on the store changes how it
- * behaves: {"down":true}, {"drop_answers":3}, {"crash":"WORKER"}, {"late_orders":2},
- * {"lost_starts":1} and {"lost_holds":1}, which are carried out and never answered,
- * {"mute":"WORKER"}, which carries out calls and answers none; the answer counts calls and
- * starts and tells what must not have happened. A task's payload is
- * "MILLISECONDS ACCELERATORS".
+ * A simulation of the users' platform for tests: its metadata store, and workers that run tasks
+ * under leases, in one process and on one loop.
  *
  * standin-platform STORE CONFIG [door=ADDR] WORKER=APP,CONTROL ...
  *
- * A door is a second address of the store; {"door":false} has it refuse all that come by it.
+ * door=ADDR opens a second address of the store. The payload of a task is
+ * "MILLISECONDS ACCELERATORS". POST /control on the store injects faults. All fields are
+ * optional:
+ *
+ *   {"down":true}        the store answers 503 to every call, and leases don't expire
+ *   {"door":false}       the store answers 503 to calls on its second address
+ *   {"drop_answers":3}   the next 3 writes are done and answered with 500
+ *   {"crash":"WORKER"}   the worker loses its state and starts again
+ *   {"mute":"WORKER"}    the worker carries out calls and answers them with 500
+ *   {"late_orders":2}    the next 2 starts are answered with 500 and carried out later
+ *   {"lost_starts":1}    the next start is carried out and never answered
+ *   {"lost_holds":1}     the next lease renewal is carried out and never answered
+ *
+ * Its answer has the number of calls to the store ("calls") and of starts on each worker
+ * ("started"), the jobs that had a task started ("begun"), and every violation of what the
+ * scheduler guarantees ("wrong").
  */
 
-#define ACCELERATORS 8 /* of each worker */
-#define MUTE_BEAT_MS 2500
-#define LATE_BY_MS   2500 /* a late order is carried out after this */
-#define TICK	     (20 * NSEC_PER_MSEC)
-#define BEAT_PERIOD  (300 * NSEC_PER_MSEC)
-#define LEASE_MAX    6000
-#define EVENTS_MAX   1000
+#define ACCELERATORS	      8 /* of each worker */
+#define MUTE_RESTART_DELAY_MS 2500
+#define START_DELAY_MS	      2500 /* of the starts that late_orders delays */
+#define TICK		      (20 * NSEC_PER_MSEC)
+#define HEARTBEAT_PERIOD      (300 * NSEC_PER_MSEC)
+#define LEASE_MAX_MS	      6000
+#define WATCH_EVENTS_MAX      1000
 
 struct item {
 	char *key;
-	char *value; /* base64, as on the wire */
+	char *value; /* in base64, as it is sent */
 	int64_t revision;
 	int64_t lease;
 	bool deleted;
@@ -40,8 +50,8 @@
 	int64_t ttl_ms;
 	int64_t until;
 };
-/* A call that waits: a watch, or a look at a worker. */
-struct waiting {
+/* A long poll: a watch on the store, or, if worker is set, a lease renewal on a worker. */
+struct pending_request {
 	struct http_request *request;
 	struct worker *worker;
 	char *prefix;
@@ -52,11 +62,11 @@
 	char *task;
 	json_int_t attempt;
 	json_int_t accelerators;
-	int64_t left;
+	int64_t remaining_ms;
 	int64_t stop_at;
 };
-/* An order that gets no answer and is carried out later. */
-struct late_order {
+/* A start that was answered with 500 and is carried out later. */
+struct delayed_start {
 	struct worker *worker;
 	json_t *start;
 	int64_t at;
@@ -68,13 +78,13 @@
 	struct http_server *server;
 	int64_t born;
 	int64_t sequence;
-	int64_t next_beat;
+	int64_t next_heartbeat;
 	int64_t lease_until;
 	json_int_t fence;
-	json_int_t ended;
+	json_int_t last_end;
 	GPtrArray *runs;
-	GHashTable *done;    /* number of the end by task, of ends that are not noted yet */
-	GHashTable *highest; /* by task, the last attempt that was stopped or ended here */
+	GHashTable *unacked_ends;  /* by task: number of its end, until it is acknowledged */
+	GHashTable *last_attempts; /* by task: last attempt that was stopped or ended here */
 	json_t *finished;
 	unsigned int started;
 	bool mute;
@@ -82,24 +92,24 @@
 
 static struct loop *loop;
 static struct http_client *client;
-static GPtrArray *items;   /* newest state by key */
-static GPtrArray *history; /* all changes */
+static GPtrArray *items;   /* current items */
+static GPtrArray *history; /* all changes, for watches */
 static GArray *leases;
-static GPtrArray *waits;
+static GPtrArray *pending_requests;
 static GPtrArray *workers;
 static int64_t revision = 1;
 static int64_t next_lease = 100;
 static bool down;
-static bool door_shut;
+static bool second_addr_down;
 static json_int_t drop_answers;
 static json_int_t late_orders;
 static json_int_t lost_starts;
 static json_int_t lost_holds;
-static GPtrArray *late;
-/* What the system has done: jobs that began, tasks whose end was noted, and what was wrong. */
-static GHashTable *begun;
-static GHashTable *settled;
-static json_t *wrong;
+static GPtrArray *delayed_starts;
+/* What the scheduler did. */
+static GHashTable *started_jobs; /* jobs that had a task started */
+static GHashTable *acked_tasks;	 /* tasks whose end was acknowledged */
+static json_t *violations;
 static unsigned int calls;
 
 static int64_t now_ms(void)
@@ -107,7 +117,7 @@
 	return loop_now(loop) / NSEC_PER_MSEC;
 }
 
-/* Answer with JSON; owns o. */
+/* Answers with JSON; takes ownership of o. */
 static void reply(struct http_request *r, int status, json_t *o)
 {
 	AUTOFREE char *text = json_dumps(o, JSON_COMPACT);
@@ -136,7 +146,7 @@
 	return NULL;
 }
 
-/* Write or remove (value NULL) one key at the revision. */
+/* Sets a key at the current revision, or deletes it if value is NULL. */
 static void item_set(const char *key, const char *value, int64_t lease)
 {
 	struct item *old = item_find(key);
@@ -158,12 +168,12 @@
 		g_ptr_array_add(items, it);
 }
 
-/* Answer a watch, where there is something or its time is over. */
-static bool watch_answer(struct waiting *w)
+/* Answers a watch if there are events or its time is over. */
+static bool answer_watch(struct pending_request *w)
 {
 	json_t *events = json_array();
 
-	for (guint i = 0; i < history->len && json_array_size(events) < EVENTS_MAX; i++) {
+	for (guint i = 0; i < history->len && json_array_size(events) < WATCH_EVENTS_MAX; i++) {
 		const struct item *it = history->pdata[i];
 
 		if (it->revision > w->after && g_str_has_prefix(it->key, w->prefix))
@@ -178,7 +188,7 @@
 	return true;
 }
 
-/* The lists of a worker, with its clock. */
+/* A worker's lists of running and finished tasks, with its clock. */
 static json_t *worker_json(const struct worker *w)
 {
 	json_t *running = json_array();
@@ -193,7 +203,7 @@
 		(json_int_t)w->born, "running", running, "finished", w->finished);
 }
 
-/* Answer a call on a worker, unless nothing is to reach the caller. */
+/* Answers a call to a worker; a mute worker answers 500 without a body. */
 static void worker_reply(const struct worker *w, struct http_request *r, int status, json_t *o)
 {
 	if (!w->mute) {
@@ -204,7 +214,8 @@
 	http_reply(r, 500, NULL, "", 0);
 }
 
-static bool look_answer(struct waiting *w)
+/* Answers a lease renewal if tasks have finished or its time is over. */
+static bool answer_hold(struct pending_request *w)
 {
 	if (json_array_size(w->worker->finished) == 0 && now_ms() < w->until)
 		return false;
@@ -215,22 +226,22 @@
 	return true;
 }
 
-/* Answer those that have waited long enough or for long enough. */
-static void answer_waits(void)
+/* Answers the long polls that have something to report or whose time is over. */
+static void answer_pending_requests(void)
 {
-	for (guint i = waits->len; i > 0; i--) {
-		struct waiting *w = waits->pdata[i - 1];
+	for (guint i = pending_requests->len; i > 0; i--) {
+		struct pending_request *w = pending_requests->pdata[i - 1];
 
-		if (w->worker != NULL ? !look_answer(w) : !watch_answer(w))
+		if (w->worker != NULL ? !answer_hold(w) : !answer_watch(w))
 			continue;
-		g_ptr_array_remove_index(waits, i - 1);
+		g_ptr_array_remove_index(pending_requests, i - 1);
 		free(w->prefix);
 		free(w);
 	}
 }
 
-/* kv-txn */
-static void do_txn(struct http_request *r, const json_t *in)
+/* kv-txn: writes and removes keys if all conditions hold. */
+static void handle_txn(struct http_request *r, const json_t *in)
 {
 	const json_t *expect = json_object_get(in, "expect");
 	const json_t *write = json_object_get(in, "write");
@@ -266,17 +277,17 @@
 	for (size_t i = 0; i < json_array_size(removed); i++)
 		item_set(json_string_value(json_array_get(removed, i)), NULL, 0);
 	if (drop_answers > 0 && json_array_size(write) > 0) {
-		/* Done, and not answered in any way that can be read. */
+		/* Committed, but the caller cannot tell from the answer. */
 		drop_answers--;
 		http_reply(r, 500, NULL, "", 0);
 	} else {
 		reply(r, 200, json_pack("{s:I}", "revision", (json_int_t)revision));
 	}
-	answer_waits();
+	answer_pending_requests();
 }
 
-/* kv-range */
-static void do_range(struct http_request *r, const char *prefix)
+/* kv-range: lists the items with a prefix. */
+static void handle_range(struct http_request *r, const char *prefix)
 {
 	json_t *list = json_array();
 
@@ -300,8 +311,8 @@
 	return NULL;
 }
 
-/* End a lease with its keys. */
-static void lease_drop(int64_t id)
+/* Ends a lease and deletes its keys. */
+static void lease_end(int64_t id)
 {
 	revision++;
 	for (guint i = items->len; i > 0; i--) {
@@ -314,15 +325,15 @@
 		if (g_array_index(leases, struct lease, i - 1).id == id)
 			g_array_remove_index(leases, i - 1);
 	}
-	answer_waits();
+	answer_pending_requests();
 }
 
-/* Calls on leases. */
-static void do_lease(struct http_request *r, const char *what, const json_t *in)
+/* Grants, renews or ends a lease. */
+static void handle_lease(struct http_request *r, const char *call, const json_t *in)
 {
 	struct lease *l;
 
-	if (strcmp(what, "kv-lease") == 0) {
+	if (strcmp(call, "kv-lease") == 0) {
 		struct lease made = {.id = next_lease++,
 			.ttl_ms = json_integer_value(json_object_get(in, "ttl_ms"))};
 
@@ -333,59 +344,59 @@
 				(json_int_t)made.ttl_ms));
 		return;
 	}
-	l = lease_find(g_ascii_strtoll(strchr(what, '/') + 1, NULL, 10));
+	l = lease_find(g_ascii_strtoll(strchr(call, '/') + 1, NULL, 10));
 	if (l == NULL) {
 		reply(r, 404, json_object());
 		return;
 	}
-	if (g_str_has_prefix(what, "kv-lease-end/"))
-		lease_drop(l->id);
+	if (g_str_has_prefix(call, "kv-lease-end/"))
+		lease_end(l->id);
 	else
 		l->until = now_ms() + l->ttl_ms;
 	reply(r, 200, json_object());
 }
 
-/* Note what must not have happened. */
-static void note_wrong(const char *what, const char *of)
+/* Records a violation with the task or worker that it concerns. */
+static void record_violation(const char *violation, const char *subject)
 {
-	json_array_append_new(
-		wrong, json_sprintf("%s %s at %lld", what, of, (long long)now_ms()));
+	json_array_append_new(violations,
+		json_sprintf("%s %s at %lld", violation, subject, (long long)now_ms()));
 }
 
-/* Forget all that a worker is and has: it starts again. */
+/* Resets a worker to the state of a new instance. */
 static void worker_crash(struct worker *w)
 {
 	w->born = now_ms();
 	w->fence = 0;
-	w->ended = 0;
+	w->last_end = 0;
 	w->lease_until = 0;
 	g_ptr_array_set_size(w->runs, 0);
-	g_hash_table_remove_all(w->highest);
-	g_hash_table_remove_all(w->done);
-	for (guint i = late->len; i > 0; i--) {
-		if (((struct late_order *)late->pdata[i - 1])->worker == w)
-			g_ptr_array_remove_index(late, i - 1);
+	g_hash_table_remove_all(w->last_attempts);
+	g_hash_table_remove_all(w->unacked_ends);
+	for (guint i = delayed_starts->len; i > 0; i--) {
+		if (((struct delayed_start *)delayed_starts->pdata[i - 1])->worker == w)
+			g_ptr_array_remove_index(delayed_starts, i - 1);
 	}
 	json_array_clear(w->finished);
-	/* A mute worker does not tell of its new life at once either. */
-	w->next_beat = w->mute ? now_ms() + MUTE_BEAT_MS : 0;
+	/* A mute worker also delays the heartbeat that announces its new instance. */
+	w->next_heartbeat = w->mute ? now_ms() + MUTE_RESTART_DELAY_MS : 0;
 }
 
-/* Ids of the jobs of which something was started. */
-static json_t *begun_json(void)
+/* The ids of the jobs that had a task started. */
+static json_t *started_jobs_json(void)
 {
 	json_t *out = json_array();
 	GHashTableIter it;
 	gpointer id;
 
-	g_hash_table_iter_init(&it, begun);
+	g_hash_table_iter_init(&it, started_jobs);
 	while (g_hash_table_iter_next(&it, &id, NULL))
 		json_array_append_new(out, json_string(id));
 	return out;
 }
 
-/* Change how the stand-in behaves, or tell how often it was called. */
-static void do_control(struct http_request *r, const json_t *in)
+/* Applies the faults that a call asks for and reports counts and violations. */
+static void handle_control(struct http_request *r, const json_t *in)
 {
 	const char *crash = json_string_value(json_object_get(in, "crash"));
 	const char *mute = json_string_value(json_object_get(in, "mute"));
@@ -394,7 +405,7 @@
 	if (json_object_get(in, "down") != NULL)
 		down = json_is_true(json_object_get(in, "down"));
 	if (json_object_get(in, "door") != NULL)
-		door_shut = !json_is_true(json_object_get(in, "door"));
+		second_addr_down = !json_is_true(json_object_get(in, "door"));
 	if (json_object_get(in, "drop_answers") != NULL)
 		drop_answers = json_integer_value(json_object_get(in, "drop_answers"));
 	if (json_object_get(in, "late_orders") != NULL)
@@ -414,50 +425,50 @@
 	}
 	reply(r, 200,
 		json_pack("{s:i,s:o,s:o,s:O}", "calls", (int)calls, "started", started, "begun",
-			begun_json(), "wrong", wrong));
+			started_jobs_json(), "wrong", violations));
 }
 
-/* A call on the store, on the loop. */
-static void store_call(void *arg)
+/* Handles a call to the store, on the loop. */
+static void handle_store_call(void *arg)
 {
 	struct http_request *r = ((void **)arg)[0];
 	char *prefix = ((void **)arg)[1];
 	char *after = ((void **)arg)[2];
 	char *wait = ((void **)arg)[3];
-	bool by_door = ((void **)arg)[4] != NULL;
+	bool by_second_addr = ((void **)arg)[4] != NULL;
 	const char *path = http_path(r);
-	const char *what = g_str_has_prefix(path, "/v1/") ? path + 4 : path;
+	const char *call = g_str_has_prefix(path, "/v1/") ? path + 4 : path;
 	const struct bytes *body = http_body(r);
 	json_t *in = json_loadb(body->data, body->len, 0, NULL);
 	const struct item *it;
 
 	if (strcmp(path, "/control") == 0) {
-		do_control(r, in);
-	} else if (down || (by_door && door_shut)) {
+		handle_control(r, in);
+	} else if (down || (by_second_addr && second_addr_down)) {
 		reply(r, 503, json_object());
-	} else if (strcmp(what, "kv-key") == 0) {
+	} else if (strcmp(call, "kv-key") == 0) {
 		calls++;
 		it = item_find(prefix);
 		reply(r, it != NULL ? 200 : 404, it != NULL ? item_json(it) : json_object());
-	} else if (strcmp(what, "kv-range") == 0) {
+	} else if (strcmp(call, "kv-range") == 0) {
 		calls++;
-		do_range(r, prefix);
-	} else if (strcmp(what, "kv-txn") == 0) {
+		handle_range(r, prefix);
+	} else if (strcmp(call, "kv-txn") == 0) {
 		calls++;
-		do_txn(r, in);
-	} else if (strcmp(what, "kv-watch") == 0) {
-		struct waiting *w = xcalloc(1, sizeof(*w));
+		handle_txn(r, in);
+	} else if (strcmp(call, "kv-watch") == 0) {
+		struct pending_request *w = xcalloc(1, sizeof(*w));
 
 		calls++;
 		w->request = r;
 		w->prefix = xstrdup(prefix);
 		w->after = g_ascii_strtoll(after, NULL, 10);
 		w->until = now_ms() + g_ascii_strtoll(wait, NULL, 10);
-		g_ptr_array_add(waits, w);
-		answer_waits();
+		g_ptr_array_add(pending_requests, w);
+		answer_pending_requests();
 	} else {
 		calls++;
-		do_lease(r, what, in);
+		handle_lease(r, call, in);
 	}
 	json_decref(in);
 	free(prefix);
@@ -466,43 +477,43 @@
 	free(arg);
 }
 
-/* A call on the store, on a thread of the server: queries are read here. */
-static void on_store(struct http_request *r, void *arg)
+/* Passes a call to the loop. Runs on a thread of the server, where the query must be read. */
+static void on_store_request(struct http_request *r, void *arg)
 {
-	void **pack = xcalloc(5, sizeof(*pack));
+	void **args = xcalloc(5, sizeof(*args));
 	const char *key = http_query(r, "key");
 
-	pack[4] = arg;
-	pack[0] = r;
-	pack[1] = xstrdup(key != NULL ? key : http_query(r, "prefix"));
-	pack[2] = xstrdup(http_query(r, "after") ? http_query(r, "after") : "0");
-	pack[3] = xstrdup(http_query(r, "wait_ms") ? http_query(r, "wait_ms") : "0");
-	loop_post(loop, store_call, pack);
+	args[4] = arg;
+	args[0] = r;
+	args[1] = xstrdup(key != NULL ? key : http_query(r, "prefix"));
+	args[2] = xstrdup(http_query(r, "after") ? http_query(r, "after") : "0");
+	args[3] = xstrdup(http_query(r, "wait_ms") ? http_query(r, "wait_ms") : "0");
+	loop_post(loop, handle_store_call, args);
 }
 
-/* An attempt was stopped or has ended: no start up to it is carried out any more. */
-static void note_highest(struct worker *w, const char *task, json_int_t attempt)
+/* Records an attempt that was stopped or has ended; its start and earlier ones are refused. */
+static void record_attempt(struct worker *w, const char *task, json_int_t attempt)
 {
-	json_int_t *was = g_hash_table_lookup(w->highest, task);
-	json_int_t *now = g_new(json_int_t, 1);
+	json_int_t *old = g_hash_table_lookup(w->last_attempts, task);
+	json_int_t *last = g_new(json_int_t, 1);
 
-	*now = MAX(attempt, was != NULL ? *was : 0);
-	g_hash_table_replace(w->highest, g_strdup(task), now);
+	*last = MAX(attempt, old != NULL ? *old : 0);
+	g_hash_table_replace(w->last_attempts, g_strdup(task), last);
 }
 
-/* A run is over. */
+/* Ends a run and adds it to the finished tasks. */
 static void run_end(struct worker *w, struct run *r, const char *how)
 {
-	note_highest(w, r->task, r->attempt);
+	record_attempt(w, r->task, r->attempt);
 	if (strcmp(how, "done") == 0)
-		g_hash_table_replace(
-			w->done, g_strdup(r->task), GSIZE_TO_POINTER((gsize)w->ended + 1));
+		g_hash_table_replace(w->unacked_ends, g_strdup(r->task),
+			GSIZE_TO_POINTER((gsize)w->last_end + 1));
 	json_array_append_new(w->finished,
-		json_pack("[I,s,I,s,s]", ++w->ended, r->task, r->attempt, how, ""));
+		json_pack("[I,s,I,s,s]", ++w->last_end, r->task, r->attempt, how, ""));
 	g_ptr_array_remove(w->runs, r);
 }
 
-/* Whether a start breaks a promise: run twice, again after its end, or over the capacity. */
+/* Records a violation if a task runs twice, starts after its end or exceeds the capacity. */
 static void check_start(const struct worker *w, const char *task, const char *payload)
 {
 	char *rest;
@@ -510,9 +521,9 @@
 
 	g_ascii_strtoll(payload, &rest, 10);
 	used = g_ascii_strtoll(rest, NULL, 10);
-	g_hash_table_add(begun, g_strndup(task, 16));
-	if (g_hash_table_contains(settled, task))
-		note_wrong("started after its end was noted:", task);
+	g_hash_table_add(started_jobs, g_strndup(task, 16));
+	if (g_hash_table_contains(acked_tasks, task))
+		record_violation("started after its end was acknowledged:", task);
 	for (guint i = 0; i < workers->len; i++) {
 		const struct worker *other = workers->pdata[i];
 
@@ -520,36 +531,36 @@
 			const struct run *r = other->runs->pdata[k];
 
 			if (strcmp(r->task, task) == 0)
-				note_wrong("runs twice:", task);
+				record_violation("already running on a worker:", task);
 			used += other == w ? r->accelerators : 0;
 		}
 	}
 	if (used > ACCELERATORS)
-		note_wrong("over its accelerators:", w->name);
+		record_violation("more accelerators in use than it has:", w->name);
 }
 
-/* Ends up to a number were noted: their tasks must never start again. */
-static void note_settled(const struct worker *w, json_int_t seen)
+/* Records that ends up to a number were acknowledged: their tasks must never start again. */
+static void record_acked_ends(const struct worker *w, json_int_t seen)
 {
 	GHashTableIter it;
 	gpointer task;
 	gpointer number;
 
-	g_hash_table_iter_init(&it, w->done);
+	g_hash_table_iter_init(&it, w->unacked_ends);
 	while (g_hash_table_iter_next(&it, &task, &number)) {
 		if ((json_int_t)GPOINTER_TO_SIZE(number) > seen)
 			continue;
-		g_hash_table_add(settled, g_strdup(task));
+		g_hash_table_add(acked_tasks, g_strdup(task));
 		g_hash_table_iter_remove(&it);
 	}
 }
 
-/* Start: the payload is how many milliseconds the task works. True where it runs then. */
+/* Starts a task; returns whether it runs now, also if it did before. */
 static bool run_start(struct worker *w, const json_t *in)
 {
 	const char *task = json_string_value(json_object_get(in, "task"));
 	json_int_t attempt = json_integer_value(json_object_get(in, "attempt"));
-	const json_int_t *highest = g_hash_table_lookup(w->highest, task);
+	const json_int_t *last = g_hash_table_lookup(w->last_attempts, task);
 	char *accelerators;
 	struct run *r;
 
@@ -558,7 +569,7 @@
 		if (strcmp(r->task, task) == 0 && r->attempt == attempt)
 			return true;
 	}
-	if (highest != NULL && attempt <= *highest)
+	if (last != NULL && attempt <= *last)
 		return false;
 	if (json_integer_value(json_object_get(in, "fencing_token")) < w->fence ||
 		json_integer_value(json_object_get(in, "deadline_ms")) < now_ms())
@@ -567,7 +578,7 @@
 	r = xcalloc(1, sizeof(*r));
 	r->task = xstrdup(task);
 	r->attempt = attempt;
-	r->left = g_ascii_strtoll(
+	r->remaining_ms = g_ascii_strtoll(
 		json_string_value(json_object_get(in, "spec")), &accelerators, 10);
 	r->accelerators = g_ascii_strtoll(accelerators, NULL, 10);
 	g_ptr_array_add(w->runs, r);
@@ -577,17 +588,17 @@
 	return true;
 }
 
-/* A start that was asked for, now or, without an answer, later. */
+/* Handles a start, delaying it or dropping its answer if a fault asks for that. */
 static void worker_start(struct worker *w, struct http_request *q, const json_t *in)
 {
 	if (late_orders > 0) {
-		struct late_order *o = xcalloc(1, sizeof(*o));
+		struct delayed_start *o = xcalloc(1, sizeof(*o));
 
 		late_orders--;
 		o->worker = w;
 		o->start = json_deep_copy(in);
-		o->at = now_ms() + LATE_BY_MS;
-		g_ptr_array_add(late, o);
+		o->at = now_ms() + START_DELAY_MS;
+		g_ptr_array_add(delayed_starts, o);
 		http_reply(q, 500, NULL, "", 0);
 		return;
 	}
@@ -604,23 +615,23 @@
 				(json_int_t)now_ms()));
 }
 
-/* Carry out the late orders that are due. */
-static void run_late(void)
+/* Carries out the delayed starts that are due. */
+static void run_delayed_starts(void)
 {
-	for (guint i = late->len; i > 0; i--) {
-		struct late_order *o = late->pdata[i - 1];
+	for (guint i = delayed_starts->len; i > 0; i--) {
+		struct delayed_start *o = delayed_starts->pdata[i - 1];
 
 		if (now_ms() < o->at)
 			continue;
 		run_start(o->worker, o->start);
 		json_decref(o->start);
 		free(o);
-		g_ptr_array_remove_index(late, i - 1);
+		g_ptr_array_remove_index(delayed_starts, i - 1);
 	}
 }
 
-/* A call on a worker, on the loop. */
-static void worker_call(void *arg)
+/* Handles a call to a worker, on the loop. */
+static void handle_worker_call(void *arg)
 {
 	struct http_request *q = ((void **)arg)[0];
 	struct worker *w = ((void **)arg)[1];
@@ -639,7 +650,7 @@
 	} else if (strcmp(path, "/v1/run-stop") == 0) {
 		const char *task = json_string_value(json_object_get(in, "task"));
 
-		note_highest(w, task, json_integer_value(json_object_get(in, "attempt")));
+		record_attempt(w, task, json_integer_value(json_object_get(in, "attempt")));
 		for (guint i = 0; i < w->runs->len; i++) {
 			struct run *r = w->runs->pdata[i];
 
@@ -648,44 +659,44 @@
 		}
 		worker_reply(w, q, 200, worker_json(w));
 	} else {
-		struct waiting *h = xcalloc(1, sizeof(*h));
+		struct pending_request *h = xcalloc(1, sizeof(*h));
 		json_int_t seen = json_integer_value(json_object_get(in, "last_seen"));
 
-		note_settled(w, seen);
+		record_acked_ends(w, seen);
 		while (json_array_size(w->finished) > 0 &&
 			json_integer_value(json_array_get(json_array_get(w->finished, 0), 0)) <=
 				seen)
 			json_array_remove(w->finished, 0);
 		w->lease_until = MAX(w->lease_until,
 			MIN(json_integer_value(json_object_get(in, "deadline_ms")),
-				now_ms() + LEASE_MAX));
+				now_ms() + LEASE_MAX_MS));
 		h->request = q;
 		h->worker = w;
 		h->until = now_ms() + json_integer_value(json_object_get(in, "wait_ms"));
-		g_ptr_array_add(waits, h);
-		answer_waits();
+		g_ptr_array_add(pending_requests, h);
+		answer_pending_requests();
 	}
 	w->fence = MAX(w->fence, fence);
 	json_decref(in);
 }
 
-static void on_worker(struct http_request *r, void *arg)
+static void on_worker_request(struct http_request *r, void *arg)
 {
-	void **pack = xcalloc(2, sizeof(*pack));
+	void **args = xcalloc(2, sizeof(*args));
 
-	pack[0] = r;
-	pack[1] = arg;
-	loop_post(loop, worker_call, pack);
+	args[0] = r;
+	args[1] = arg;
+	loop_post(loop, handle_worker_call, args);
 }
 
-static void beat_done(struct http_call *c, void *arg)
+static void heartbeat_done(struct http_call *c, void *arg)
 {
 	(void)arg;
 	http_call_free(c);
 }
 
-/* Report to the agent beside the worker. */
-static void beat(struct worker *w)
+/* Sends a heartbeat to the worker's agent. */
+static void send_heartbeat(struct worker *w)
 {
 	AUTOFREE char *url = NULL;
 	json_t *o = json_pack("{s:s,s:s,s:s,s:I,s:I,s:{s:i,s:i,s:i},s:[s,s]}", "service",
@@ -699,45 +710,45 @@
 	c->body.data = json_dumps(o, JSON_COMPACT);
 	c->body.len = strlen(c->body.data);
 	c->timeout = NSEC_PER_SEC;
-	c->done = beat_done;
+	c->done = heartbeat_done;
 	json_decref(o);
 	http_client_send(client, c);
 }
 
-/* Time passes. */
+/* Advances runs, leases, heartbeats and long polls. */
 static void tick(void *arg)
 {
 	(void)arg;
-	run_late();
+	run_delayed_starts();
 	for (guint i = 0; i < workers->len; i++) {
 		struct worker *w = workers->pdata[i];
 
 		for (guint k = w->runs->len; k > 0; k--) {
 			struct run *r = w->runs->pdata[k - 1];
 
-			r->left -= TICK / NSEC_PER_MSEC;
+			r->remaining_ms -= TICK / NSEC_PER_MSEC;
 			if (now_ms() > w->lease_until)
 				run_end(w, r, "lapsed");
 			else if (r->stop_at != 0 && now_ms() >= r->stop_at)
 				run_end(w, r, "stopped");
-			else if (r->left <= 0)
+			else if (r->remaining_ms <= 0)
 				run_end(w, r, "done");
 		}
-		if (now_ms() >= w->next_beat) {
-			w->next_beat = now_ms() + BEAT_PERIOD / NSEC_PER_MSEC;
-			beat(w);
+		if (now_ms() >= w->next_heartbeat) {
+			w->next_heartbeat = now_ms() + HEARTBEAT_PERIOD / NSEC_PER_MSEC;
+			send_heartbeat(w);
 		}
 	}
 	for (guint i = leases->len; i > 0; i--) {
 		const struct lease *l = &g_array_index(leases, struct lease, i - 1);
 
 		if (!down && now_ms() > l->until)
-			lease_drop(l->id);
+			lease_end(l->id);
 	}
-	answer_waits();
+	answer_pending_requests();
 }
 
-/* WORKER=APP,CONTROL */
+/* Adds a worker from an argument WORKER=APP,CONTROL. */
 static void add_worker(const char *text, const struct http_limits *limits)
 {
 	struct worker *w = xcalloc(1, sizeof(*w));
@@ -748,13 +759,13 @@
 	w->app = xstrdup(addrs[0]);
 	w->control = xstrdup(addrs[1]);
 	w->runs = g_ptr_array_new();
-	w->done = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-	w->highest = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+	w->unacked_ends = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+	w->last_attempts = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	w->finished = json_array();
 	w->born = now_ms();
-	w->server = http_server_new(w->app, limits, on_worker, w, NULL);
+	w->server = http_server_new(w->app, limits, on_worker_request, w, NULL);
 	if (w->server == NULL) {
-		fprintf(stderr, "standin-platform: no server at %s\n", w->app);
+		fprintf(stderr, "standin-platform: cannot listen on %s\n", w->app);
 		exit(1);
 	}
 	g_ptr_array_add(workers, w);
@@ -781,23 +792,23 @@
 	client = http_client_new(loop);
 	items = g_ptr_array_new();
 	history = g_ptr_array_new();
-	waits = g_ptr_array_new();
-	late = g_ptr_array_new();
-	begun = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-	settled = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-	wrong = json_array();
+	pending_requests = g_ptr_array_new();
+	delayed_starts = g_ptr_array_new();
+	started_jobs = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+	acked_tasks = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+	violations = json_array();
 	workers = g_ptr_array_new();
 	leases = g_array_new(FALSE, FALSE, sizeof(struct lease));
 	encoded = g_base64_encode((guchar *)config, len);
 	item_set("op/config", encoded, 0);
 	for (int i = 3; i < argc; i++) {
 		if (g_str_has_prefix(argv[i], "door="))
-			http_server_new(
-				argv[i] + strlen("door="), &limits, on_store, &door_shut, NULL);
+			http_server_new(argv[i] + strlen("door="), &limits, on_store_request,
+				&second_addr_down, NULL);
 		else
 			add_worker(argv[i], &limits);
 	}
-	s = http_server_new(argv[1], &limits, on_store, NULL, NULL);
+	s = http_server_new(argv[1], &limits, on_store_request, NULL, NULL);
 	if (s == NULL)
 		return 1;
 	printf("ready %s\n", http_server_addr(s));
