--- a/packages/standin/standin-platform.c
+++ b/packages/standin/standin-platform.c
@@ -536,7 +536,7 @@
 		}
 	}
 	if (used > ACCELERATORS)
-		record_violation("more accelerators in use than it has:", w->name);
+		record_violation("accelerators overcommitted on worker", w->name);
 }
 
 /* Records that ends up to a number were acknowledged: their tasks must never start again. */
