--- a/packages/daemon/agent.c
+++ b/packages/daemon/agent.c
@@ -273,7 +273,7 @@
 }
 
 /* What keeps a stopping agent from ending, for the log. */
-char *agent_busy_with(const struct agent *a)
+char *agent_describe_pending(const struct agent *a)
 {
 	return g_strdup_printf("coordinates=%d running=%zu unacknowledged=%zu",
 		a->host.coord != NULL, agent_core_live(a->core), agent_core_unacked(a->core));
--- a/packages/daemon/daemon.h
+++ b/packages/daemon/daemon.h
@@ -8,7 +8,7 @@
 extern const struct option_entry settings_table[];
 extern const size_t settings_count;
 
-/* process.c: what each role needs. */
+/* process.c: resources that the agent and the entry of one process share. */
 struct process {
 	struct loop *loop;
 	struct options *options;
@@ -19,23 +19,22 @@
 	int64_t stop_limit;
 };
 bool process_init(struct process *p, struct options *o, GError **err);
-void process_end_work(struct process *p);
+void process_stop_pool(struct process *p);
 void process_clear(struct process *p);
-/* Signals to stop and, with reload, to read the settings again; -1 where there is no
- * descriptor. */
+/* Returns a signalfd for SIGTERM, SIGINT and, if reload is set, SIGHUP; -1 on failure. */
 int process_open_signals(bool reload);
 
-/* agent.c: the process beside an upstream; one of them coordinates the cell. */
+/* agent.c: runs next to an upstream; one agent of each cell is its coordinator. */
 struct agent;
 struct agent *agent_new(struct process *p, GError **err);
 void agent_stop(struct agent *a);
 bool agent_idle(const struct agent *a);
-/* What keeps a stopping agent from ending, for the log; freed by the caller. */
-char *agent_busy_with(const struct agent *a);
+/* Describes what delays the stop, as key=value pairs for the log; the caller frees it. */
+char *agent_describe_pending(const struct agent *a);
 void agent_free(struct agent *a);
 const char *agent_http_addr(const struct agent *a);
 
-/* entry.c: callers' and operators' HTTP. */
+/* entry.c: the HTTP API for callers and operators. */
 struct entry;
 struct entry *entry_new(struct process *p, GError **err);
 void entry_stop(struct entry *e);
@@ -43,7 +42,7 @@
 void entry_free(struct entry *e);
 const char *entry_http_addr(const struct entry *e);
 
-/* wl-process.c: the roles on the users' platform, which serve jobs of steps. */
+/* wl-process.c: the roles that run on the users' platform and serve jobs made of steps. */
 enum wl_role {
 	WL_ROLE_ENTRY,
 	WL_ROLE_AGENT
--- a/packages/daemon/main.c
+++ b/packages/daemon/main.c
@@ -73,8 +73,8 @@
 	if (!idle && loop_now(p->process.loop) < p->stop_at)
 		return;
 	if (!idle) {
-		g_autofree char *why =
-			p->agent != NULL ? agent_busy_with(p->agent) : g_strdup("callers");
+		g_autofree char *why = p->agent != NULL ? agent_describe_pending(p->agent)
+							: g_strdup("callers");
 
 		log_warning("main", "The limit for stopping has passed with work in flight. %s",
 			why);
@@ -171,7 +171,7 @@
 		fprintf(stderr, "damaskpathd: %s\n", err->message);
 		p.exit_code = error_kind_of(err) == ERR_INVALID ? EXIT_USAGE : 1;
 	}
-	process_end_work(&p.process);
+	process_stop_pool(&p.process);
 	if (p.entry != NULL)
 		entry_free(p.entry);
 	if (p.agent != NULL)
--- a/packages/daemon/process.c
+++ b/packages/daemon/process.c
@@ -32,7 +32,7 @@
 }
 
 /* Finish the blocking calls under way; their owners may be freed afterwards. */
-void process_end_work(struct process *p)
+void process_stop_pool(struct process *p)
 {
 	if (p->pool != NULL)
 		work_pool_free(p->pool);
@@ -42,7 +42,7 @@
 /* Free all. */
 void process_clear(struct process *p)
 {
-	process_end_work(p);
+	process_stop_pool(p);
 	if (p->loop != NULL)
 		loop_free(p->loop);
 	store_free(p->store);
