--- a/packages/daemon/agent-host.c
+++ b/packages/daemon/agent-host.c
@@ -74,7 +74,7 @@
 	struct host_work *w = arg;
 
 	w->ok = cell_term_renew(w->agent->p->store, w->agent->cell,
-		w->agent->lease / NSEC_PER_SEC, &w->cell, &w->err);
+		w->agent->lease_ns / NSEC_PER_SEC, &w->cell, &w->err);
 }
 
 static void renew_done(void *arg)
@@ -87,7 +87,7 @@
 		note_store(a, w->ok || error_kind_of(w->err) == ERR_CONFLICT, w->err);
 		if (w->ok) {
 			a->host.term.lease = w->cell.lease;
-			a->host.renewed = loop_now(a->p->loop);
+			a->host.lease_renewed_at = loop_now(a->p->loop);
 		} else if (error_kind_of(w->err) == ERR_CONFLICT) {
 			host_step_down(a, "the lease went to another");
 		}
@@ -115,7 +115,7 @@
 		note_store(a, w->ok, w->err);
 		coord_batch_done(a->host.coord, now, &w->batch, w->ok && w->still_ours);
 		if (!w->ok)
-			a->host.write_after = now + WRITE_RETRY;
+			a->host.write_retry_at = now + WRITE_RETRY;
 		else if (!w->still_ours)
 			host_step_down(a, "a write was fenced off");
 	}
@@ -143,7 +143,7 @@
 		else if (error_kind_of(w->err) == ERR_CONFLICT)
 			host_step_down(a, "the term went to another");
 		else
-			a->host.write_after = loop_now(a->p->loop) + WRITE_RETRY;
+			a->host.write_retry_at = loop_now(a->p->loop) + WRITE_RETRY;
 	}
 	work_free(w);
 }
@@ -164,7 +164,7 @@
 	struct host_work *w = arg;
 	struct agent *a = w->agent;
 
-	a->host.loading = false;
+	a->host.loading_config = false;
 	if (is_current(w) && w->ok && w->doc != NULL) {
 		config_snapshot_clear(&a->host.config);
 		a->host.config = w->config;
@@ -182,18 +182,18 @@
 	struct host *h = &a->host;
 	struct host_work *w;
 
-	if (!h->renewing && now - h->renewed > a->lease / 3) {
+	if (!h->renewing && now - h->lease_renewed_at > a->lease_ns / 3) {
 		h->renewing = true;
 		work_submit(a->p->pool, renew_run, renew_done, work_new(a));
 	}
-	if (!h->loading && now - h->config_checked > CONFIG_PERIOD) {
-		h->loading = true;
-		h->config_checked = now;
+	if (!h->loading_config && now - h->config_checked_at > CONFIG_PERIOD) {
+		h->loading_config = true;
+		h->config_checked_at = now;
 		w = work_new(a);
 		config_snapshot_copy(&w->config, &h->config);
 		work_submit(a->p->pool, config_run, config_done, w);
 	}
-	if (now < h->write_after)
+	if (now < h->write_retry_at)
 		return;
 	if (!h->saving_roster && coord_roster_changed(h->coord)) {
 		h->saving_roster = true;
@@ -217,12 +217,12 @@
 {
 	struct agent *a = arg;
 	int64_t now = loop_now(a->p->loop);
-	int64_t gap = now - a->host.last_tick;
+	int64_t gap = now - a->host.last_tick_at;
 
 	if (a->host.coord == NULL)
 		return;
-	a->host.last_tick = now;
-	if (gap > a->lease) {
+	a->host.last_tick_at = now;
+	if (gap > a->lease_ns) {
 		host_step_down(a, "this process was paused past its lease");
 		return;
 	}
@@ -235,17 +235,17 @@
 {
 	struct host *h = &a->host;
 
-	h->coord = agent_make_coord(a);
+	h->coord = agent_create_coord(a);
 	h->term = *term;
 	memset(term, 0, sizeof(*term));
-	h->renewed = now;
-	h->last_tick = now;
-	h->config_checked = now - CONFIG_PERIOD;
+	h->lease_renewed_at = now;
+	h->last_tick_at = now;
+	h->config_checked_at = now - CONFIG_PERIOD;
 	h->store_up = true;
-	h->write_after = 0;
+	h->write_retry_at = 0;
 	coord_begin(h->coord, now, clock_wall(loop_clock(a->p->loop)), h->term.term,
 		h->term.roster, records, NULL);
-	a->coord_tick = loop_timer_add(a->p->loop, COORD_TICK, COORD_TICK, host_tick, a);
+	a->coord_timer = loop_timer_add(a->p->loop, COORD_TICK, COORD_TICK, host_tick, a);
 }
 
 /* Stop being the coordinator; the peers find the next one. */
@@ -258,10 +258,10 @@
 		return;
 	log_warning("coord", "Stepping down: %s. cell=%s term=%" PRIu64, why, a->cell,
 		a->host.term.term);
-	g_hash_table_iter_init(&it, a->inbound);
+	g_hash_table_iter_init(&it, a->coord_peers);
 	while (g_hash_table_iter_next(&it, &key, NULL))
 		peer_close(a->net, *(peer_id *)key);
-	g_hash_table_remove_all(a->inbound);
+	g_hash_table_remove_all(a->coord_peers);
 	host_clear(a);
 }
 
@@ -279,8 +279,8 @@
 {
 	struct host *h = &a->host;
 
-	loop_timer_del(a->p->loop, a->coord_tick);
-	a->coord_tick = NULL;
+	loop_timer_del(a->p->loop, a->coord_timer);
+	a->coord_timer = NULL;
 	coord_free(h->coord);
 	h->coord = NULL;
 	cell_term_clear(&h->term);
--- a/packages/daemon/agent-link.c
+++ b/packages/daemon/agent-link.c
@@ -28,7 +28,7 @@
 };
 
 /* Whether a connection is the one to the coordinator. */
-bool link_is_peer(const struct agent *a, peer_id peer)
+bool link_owns_peer(const struct agent *a, peer_id peer)
 {
 	return a->link.peer == peer && peer != PEER_NONE;
 }
@@ -45,10 +45,11 @@
 {
 	int64_t most = MIN(RETRY_MIN << MIN(a->link.failures, 8u), RETRY_MAX);
 
-	a->link.state = LINK_NONE;
+	a->link.state = LINK_DISCONNECTED;
 	a->link.peer = PEER_NONE;
 	a->link.failures++;
-	a->link.next_try = now + most / 2 + (int64_t)(random_u64() % (uint64_t)(most / 2 + 1));
+	a->link.next_retry_at =
+		now + most / 2 + (int64_t)(random_u64() % (uint64_t)(most / 2 + 1));
 }
 
 /* Read the term, and take it where nobody holds it. Runs on the pool. */
@@ -63,7 +64,7 @@
 	if (!q->ok || q->term.held || !q->campaign)
 		return;
 	q->won = cell_term_take(
-		s, a->cell, a->addr, a->name, a->lease / NSEC_PER_SEC, &q->term, &q->err);
+		s, a->cell, a->addr, a->name, a->lease_ns / NSEC_PER_SEC, &q->term, &q->err);
 	if (!q->won)
 		return;
 	q->records = g_ptr_array_new_with_free_func(job_record_free);
@@ -87,8 +88,8 @@
 		retry_later(a, now);
 		return;
 	}
-	a->link.state = LINK_DIALLING;
-	a->link.heard = now;
+	a->link.state = LINK_CONNECTING;
+	a->link.last_received_at = now;
 }
 
 /* The store answered. Runs on the loop. */
@@ -131,18 +132,18 @@
 	q->agent = a;
 	q->campaign = !a->stopping && a->host.coord == NULL;
 	q->pause.tv_nsec = (long)pause;
-	a->link.state = LINK_ASKING;
+	a->link.state = LINK_LOOKUP;
 	work_submit(a->p->pool, ask_run, ask_done, q);
 }
 
 /* Send a message to the coordinator; dropped where there is none. */
 bool link_send(struct agent *a, const struct msg *m)
 {
-	return a->link.state >= LINK_GREETED && agent_send_peer(a, a->link.peer, m);
+	return a->link.state >= LINK_HELLO_SENT && agent_send_peer(a, a->link.peer, m);
 }
 
 /* The connection is open: introduce ourselves. */
-void link_opened(struct agent *a)
+void link_peer_opened(struct agent *a)
 {
 	struct msg m = {.kind = MSG_HELLO,
 		.hello = {.role = ROLE_AGENT,
@@ -152,7 +153,7 @@
 			.incarnation = a->incarnation,
 			.term = agent_core_term(a->core)}};
 
-	a->link.state = LINK_GREETED;
+	a->link.state = LINK_HELLO_SENT;
 	agent_send_peer(a, a->link.peer, &m);
 }
 
@@ -174,9 +175,9 @@
 }
 
 /* A message of the coordinator. */
-void link_message(struct agent *a, int64_t now, const struct msg *m)
+void link_handle_message(struct agent *a, int64_t now, const struct msg *m)
 {
-	a->link.heard = now;
+	a->link.last_received_at = now;
 	if (m->kind == MSG_WELCOME)
 		on_welcome(a, now, &m->welcome);
 	else if (m->kind == MSG_BEAT_ACK)
@@ -186,7 +187,7 @@
 }
 
 /* The connection is gone. */
-void link_closed(struct agent *a, int64_t now)
+void link_peer_closed(struct agent *a, int64_t now)
 {
 	if (a->link.state == LINK_READY) {
 		log_info("agent", "The connection to the coordinator is gone.");
@@ -213,22 +214,22 @@
 void link_tick(struct agent *a, int64_t now)
 {
 	switch (a->link.state) {
-	case LINK_NONE:
-		if (now < a->link.next_try)
+	case LINK_DISCONNECTED:
+		if (now < a->link.next_retry_at)
 			break;
 		if (a->host.coord != NULL)
 			dial(a, now, a->addr);
 		else
 			ask(a);
 		break;
-	case LINK_ASKING:
+	case LINK_LOOKUP:
 		break;
-	case LINK_DIALLING:
-	case LINK_GREETED:
+	case LINK_CONNECTING:
+	case LINK_HELLO_SENT:
 	case LINK_READY:
 		if (a->link.state == LINK_READY)
 			send_beat(a);
-		if (now - a->link.heard > SILENCE_MAX)
+		if (now - a->link.last_received_at > SILENCE_MAX)
 			peer_close(a->net, a->link.peer);
 		break;
 	}
--- a/packages/daemon/agent-upstream.c
+++ b/packages/daemon/agent-upstream.c
@@ -270,7 +270,7 @@
 }
 
 /* A request to the agent's HTTP address. */
-void upstream_request(struct http_request *r, void *arg)
+void upstream_handle_request(struct http_request *r, void *arg)
 {
 	struct agent *a = arg;
 	const char *path = http_path(r);
--- a/packages/daemon/agent.c
+++ b/packages/daemon/agent.c
@@ -81,8 +81,8 @@
 	struct agent *a = arg;
 
 	(void)dialled;
-	if (link_is_peer(a, peer))
-		link_opened(a);
+	if (link_owns_peer(a, peer))
+		link_peer_opened(a);
 }
 
 /* A peer introduced itself to us. */
@@ -91,7 +91,7 @@
 	struct msg no = {.kind = MSG_WELCOME, .welcome = {.cell = a->cell}};
 
 	if (a->host.coord != NULL) {
-		g_hash_table_add(a->inbound, g_memdup2(&peer, sizeof(peer)));
+		g_hash_table_add(a->coord_peers, g_memdup2(&peer, sizeof(peer)));
 		coord_hello(a->host.coord, loop_now(a->p->loop), peer, h);
 		return;
 	}
@@ -142,13 +142,13 @@
 	}
 	if (a->host.coord != NULL && seen_term(&m) > coord_term(a->host.coord))
 		host_step_down(a, "an agent has seen a higher term");
-	if (link_is_peer(a, peer))
-		link_message(a, loop_now(a->p->loop), &m);
+	if (link_owns_peer(a, peer))
+		link_handle_message(a, loop_now(a->p->loop), &m);
 	else if (m.kind == MSG_GANG_BEAT)
 		on_gang_beat(a, peer, &m.gang_beat);
 	else if (m.kind == MSG_HELLO)
 		on_hello(a, peer, &m.hello);
-	else if (a->host.coord != NULL && g_hash_table_contains(a->inbound, &peer))
+	else if (a->host.coord != NULL && g_hash_table_contains(a->coord_peers, &peer))
 		coord_message(a->host.coord, loop_now(a->p->loop), peer, &m);
 	msg_clear(&m);
 }
@@ -162,10 +162,10 @@
 	(void)why;
 	if (addr != NULL)
 		g_hash_table_remove(a->gang_peers, addr);
-	if (g_hash_table_remove(a->inbound, &peer) && a->host.coord != NULL)
+	if (g_hash_table_remove(a->coord_peers, &peer) && a->host.coord != NULL)
 		coord_closed(a->host.coord, loop_now(a->p->loop), peer);
-	if (link_is_peer(a, peer))
-		link_closed(a, loop_now(a->p->loop));
+	if (link_owns_peer(a, peer))
+		link_peer_closed(a, loop_now(a->p->loop));
 }
 
 /*
@@ -175,7 +175,7 @@
  */
 static void tick_hand_over(struct agent *a, int64_t now)
 {
-	if (a->host.coord == NULL || now < a->hand_over_at)
+	if (a->host.coord == NULL || now < a->handover_at)
 		return;
 	/* Jobs that an agent has refused wait again; their return takes until the next tick. */
 	if (coord_return_waiting(a->host.coord) > 0)
@@ -218,7 +218,7 @@
 		*options_string(o, "advertise") ? options_string(o, "advertise") : bound);
 	a->name = xstrdup(*options_string(o, "name") ? options_string(o, "name") : a->addr);
 	a->http = http_server_new(
-		options_string(o, "agent-http"), &limits, upstream_request, a, err);
+		options_string(o, "agent-http"), &limits, upstream_handle_request, a, err);
 	return a->http != NULL;
 }
 
@@ -232,18 +232,19 @@
 
 	a->p = p;
 	a->cell = xstrdup(options_string(p->options, "cell"));
-	a->lease = options_number(p->options, "lease");
+	a->lease_ns = options_number(p->options, "lease");
 	a->incarnation = random_u64();
 	a->net = peer_net_new(p->loop, p->keys, &events);
 	a->client = http_client_new(p->loop);
 	a->core = agent_core_new(&ports);
 	a->gang_peers = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	a->inbound = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
+	a->coord_peers = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
 	if (!open_agent(a, err)) {
 		agent_free(a);
 		return NULL;
 	}
-	a->tick = loop_timer_add(p->loop, AGENT_TICK, AGENT_TICK, on_tick, a);
+	a->tick_timer =
+		loop_timer_add(p->loop, AGENT_TICK_PERIOD_NS, AGENT_TICK_PERIOD_NS, on_tick, a);
 	log_info("agent", "Agent %s of cell %s is up. peers=%s upstream=%s", a->name, a->cell,
 		a->addr, http_server_addr(a->http));
 	return a;
@@ -255,7 +256,7 @@
 	int64_t now = loop_now(a->p->loop);
 
 	a->stopping = true;
-	a->hand_over_at = now + HAND_OVER_TIME;
+	a->handover_at = now + HAND_OVER_TIME;
 	agent_core_drain(a->core);
 	agent_core_report(a->core, now);
 	if (a->host.coord != NULL)
@@ -286,13 +287,13 @@
 		return;
 	host_release(a);
 	host_clear(a);
-	loop_timer_del(a->p->loop, a->tick);
+	loop_timer_del(a->p->loop, a->tick_timer);
 	http_server_free(a->http);
 	http_client_free(a->client);
 	peer_net_free(a->net);
 	agent_core_free(a->core);
 	g_hash_table_destroy(a->gang_peers);
-	g_hash_table_destroy(a->inbound);
+	g_hash_table_destroy(a->coord_peers);
 	link_clear(a);
 	free(a->cell);
 	free(a->name);
@@ -307,7 +308,7 @@
 }
 
 /* The ports of a coordinator hosted here. */
-struct coord *agent_make_coord(struct agent *a)
+struct coord *agent_create_coord(struct agent *a)
 {
 	struct coord_ports ports = {coord_port_send, coord_port_close, a};
 
