--- a/packages/daemon/agent-link.c
+++ b/packages/daemon/agent-link.c
@@ -5,77 +5,75 @@
 #include <string.h>
 
 /*
- * An agent that has no coordinator reads the cell's term from the store, after a random delay
- * so that a cell does not ask in one moment. It dials the holder, or takes the term where
- * nobody holds it. An agent with a coordinator makes no calls to the store at all.
+ * An agent without a coordinator reads the cell's term from the store, after a random delay so
+ * that the agents of a cell do not all call the store at once. It connects to the holder, or
+ * takes the term if nobody holds it. While connected, an agent makes no calls to the store.
  */
 
-#define RETRY_MIN     (300 * NSEC_PER_MSEC)
-#define RETRY_MAX     (5 * NSEC_PER_SEC)
-#define SILENCE_MAX   (4 * NSEC_PER_SEC)
-#define CAMPAIGN_WAIT (400 * NSEC_PER_MSEC)
+#define RETRY_DELAY_MIN_NS  (300 * NSEC_PER_MSEC)
+#define RETRY_DELAY_MAX_NS  (5 * NSEC_PER_SEC)
+#define SILENCE_TIMEOUT_NS  (4 * NSEC_PER_SEC)
+#define LOOKUP_DELAY_MAX_NS (400 * NSEC_PER_MSEC)
 
-/* One question to the store, on the pool. */
-struct ask {
+/* A lookup of the cell's term in the store, which may take the term. */
+struct term_lookup {
 	struct agent *agent;
-	bool campaign;
+	bool may_take_term;
 	bool ok;
-	bool won;
+	bool term_taken;
 	struct cell_term term;
 	GPtrArray *records;
 	GError *err;
-	struct timespec pause;
+	struct timespec delay;
 };
 
-/* Whether a connection is the one to the coordinator. */
 bool link_owns_peer(const struct agent *a, peer_id peer)
 {
 	return a->link.peer == peer && peer != PEER_NONE;
 }
 
-/* Free what the link holds. */
 void link_clear(struct agent *a)
 {
 	free(a->link.addr);
 	a->link.addr = NULL;
 }
 
-/* Try again after a while that grows with failures. */
-static void retry_later(struct agent *a, int64_t now)
+/* Schedules the next attempt with exponential backoff and jitter. */
+static void schedule_retry(struct agent *a, int64_t now)
 {
-	int64_t most = MIN(RETRY_MIN << MIN(a->link.failures, 8u), RETRY_MAX);
+	int64_t max_delay =
+		MIN(RETRY_DELAY_MIN_NS << MIN(a->link.failures, 8u), RETRY_DELAY_MAX_NS);
 
 	a->link.state = LINK_DISCONNECTED;
 	a->link.peer = PEER_NONE;
 	a->link.failures++;
 	a->link.next_retry_at =
-		now + most / 2 + (int64_t)(random_u64() % (uint64_t)(most / 2 + 1));
+		now + max_delay / 2 + (int64_t)(random_u64() % (uint64_t)(max_delay / 2 + 1));
 }
 
-/* Read the term, and take it where nobody holds it. Runs on the pool. */
-static void ask_run(void *arg)
+/* Reads the term and takes it if nobody holds it. Runs on the pool. */
+static void lookup_run(void *arg)
 {
-	struct ask *q = arg;
+	struct term_lookup *q = arg;
 	struct agent *a = q->agent;
 	struct store *s = a->p->store;
 
-	nanosleep(&q->pause, NULL);
+	nanosleep(&q->delay, NULL);
 	q->ok = cell_term_read(s, a->cell, &q->term, &q->err);
-	if (!q->ok || q->term.held || !q->campaign)
+	if (!q->ok || q->term.held || !q->may_take_term)
 		return;
-	q->won = cell_term_take(
+	q->term_taken = cell_term_take(
 		s, a->cell, a->addr, a->name, a->lease_ns / NSEC_PER_SEC, &q->term, &q->err);
-	if (!q->won)
+	if (!q->term_taken)
 		return;
 	q->records = g_ptr_array_new_with_free_func(job_record_free);
 	if (!job_store_load(s, a->cell, q->records, &q->err)) {
 		cell_term_release(s, &q->term, NULL);
-		q->won = false;
+		q->term_taken = false;
 	}
 }
 
-/* Connect to the holder of the term. */
-static void dial(struct agent *a, int64_t now, const char *addr)
+static void connect_to_coord(struct agent *a, int64_t now, const char *addr)
 {
 	g_autoptr(GError) err = NULL;
 
@@ -85,35 +83,38 @@
 	}
 	a->link.peer = peer_dial(a->net, addr, &err);
 	if (a->link.peer == PEER_NONE) {
-		retry_later(a, now);
+		schedule_retry(a, now);
 		return;
 	}
 	a->link.state = LINK_CONNECTING;
 	a->link.last_received_at = now;
 }
 
-/* The store answered. Runs on the loop. */
-static void ask_done(void *arg)
+/*
+ * Connects to the holder of the term, or hosts the coordinator if this agent took the term. If
+ * the store fails, every other attempt dials the last known address. Runs on the loop.
+ */
+static void lookup_done(void *arg)
 {
-	struct ask *q = arg;
+	struct term_lookup *q = arg;
 	struct agent *a = q->agent;
 	int64_t now = loop_now(a->p->loop);
 
-	if (q->won) {
+	if (q->term_taken) {
 		host_start(a, now, &q->term, q->records);
-		dial(a, now, a->addr);
+		connect_to_coord(a, now, a->addr);
 	} else if (q->ok && q->term.held && q->term.addr != NULL &&
 		   strcmp(q->term.addr, a->addr) != 0) {
-		dial(a, now, q->term.addr);
+		connect_to_coord(a, now, q->term.addr);
 	} else {
 		if (q->err != NULL && error_kind_of(q->err) != ERR_CONFLICT)
-			log_warning("agent", "The coordinator cannot be looked up: %s.",
+			log_warning("agent", "Could not look up the coordinator: %s.",
 				q->err->message);
 		if (!q->ok && a->link.addr != NULL && a->link.failures % 2 == 0) {
 			a->link.failures++;
-			dial(a, now, a->link.addr);
+			connect_to_coord(a, now, a->link.addr);
 		} else {
-			retry_later(a, now);
+			schedule_retry(a, now);
 		}
 	}
 	if (q->records != NULL)
@@ -123,26 +124,26 @@
 	free(q);
 }
 
-/* Ask the store who coordinates. */
-static void ask(struct agent *a)
+/* Looks up the coordinator in the store after a random delay. */
+static void start_lookup(struct agent *a)
 {
-	struct ask *q = xcalloc(1, sizeof(*q));
-	int64_t pause = (int64_t)(random_u64() % (uint64_t)CAMPAIGN_WAIT);
+	struct term_lookup *q = xcalloc(1, sizeof(*q));
+	int64_t delay = (int64_t)(random_u64() % (uint64_t)LOOKUP_DELAY_MAX_NS);
 
 	q->agent = a;
-	q->campaign = !a->stopping && a->host.coord == NULL;
-	q->pause.tv_nsec = (long)pause;
+	q->may_take_term = !a->stopping && a->host.coord == NULL;
+	q->delay.tv_nsec = (long)delay;
 	a->link.state = LINK_LOOKUP;
-	work_submit(a->p->pool, ask_run, ask_done, q);
+	work_submit(a->p->pool, lookup_run, lookup_done, q);
 }
 
-/* Send a message to the coordinator; dropped where there is none. */
+/* Sends a message to the coordinator; drops it and returns false if there is none. */
 bool link_send(struct agent *a, const struct msg *m)
 {
 	return a->link.state >= LINK_HELLO_SENT && agent_send_peer(a, a->link.peer, m);
 }
 
-/* The connection is open: introduce ourselves. */
+/* Sends the hello on a new connection. */
 void link_peer_opened(struct agent *a)
 {
 	struct msg m = {.kind = MSG_HELLO,
@@ -157,8 +158,8 @@
 	agent_send_peer(a, a->link.peer, &m);
 }
 
-/* The coordinator's welcome. */
-static void on_welcome(struct agent *a, int64_t now, const struct msg_welcome *w)
+/* Adopts the coordinator's term; disconnects if it is outdated or of another cell. */
+static void handle_welcome(struct agent *a, int64_t now, const struct msg_welcome *w)
 {
 	if (w->term == 0 || g_strcmp0(w->cell, a->cell) != 0 ||
 		!agent_core_adopt_term(a->core, now, w->term)) {
@@ -166,39 +167,36 @@
 		return;
 	}
 	if (a->link.state != LINK_READY)
-		log_info("agent", "The coordinator at %s has us. term=%" PRIu64, a->link.addr,
-			w->term);
+		log_info("agent", "Registered with the coordinator at %s. term=%" PRIu64,
+			a->link.addr, w->term);
 	a->link.state = LINK_READY;
 	a->link.term = w->term;
 	a->link.failures = 0;
 	a->link.config_revision = w->config_revision;
 }
 
-/* A message of the coordinator. */
 void link_handle_message(struct agent *a, int64_t now, const struct msg *m)
 {
 	a->link.last_received_at = now;
 	if (m->kind == MSG_WELCOME)
-		on_welcome(a, now, &m->welcome);
+		handle_welcome(a, now, &m->welcome);
 	else if (m->kind == MSG_BEAT_ACK)
 		a->link.config_revision = m->beat_ack.config_revision;
 	else
 		agent_core_message(a->core, now, m);
 }
 
-/* The connection is gone. */
 void link_peer_closed(struct agent *a, int64_t now)
 {
 	if (a->link.state == LINK_READY) {
-		log_info("agent", "The connection to the coordinator is gone.");
+		log_info("agent", "Lost the connection to the coordinator.");
 		a->link.failures = 0;
 	}
 	agent_core_lost_coordinator(a->core);
-	retry_later(a, now);
+	schedule_retry(a, now);
 }
 
-/* Tell the coordinator that we are alive. */
-static void send_beat(struct agent *a)
+static void send_heartbeat(struct agent *a)
 {
 	struct msg m = {.kind = MSG_BEAT,
 		.beat = {.term = agent_core_term(a->core),
@@ -210,7 +208,7 @@
 	link_send(a, &m);
 }
 
-/* Enforce times. */
+/* Retries, sends heartbeats and disconnects from a silent coordinator. */
 void link_tick(struct agent *a, int64_t now)
 {
 	switch (a->link.state) {
@@ -218,9 +216,9 @@
 		if (now < a->link.next_retry_at)
 			break;
 		if (a->host.coord != NULL)
-			dial(a, now, a->addr);
+			connect_to_coord(a, now, a->addr);
 		else
-			ask(a);
+			start_lookup(a);
 		break;
 	case LINK_LOOKUP:
 		break;
@@ -228,8 +226,8 @@
 	case LINK_HELLO_SENT:
 	case LINK_READY:
 		if (a->link.state == LINK_READY)
-			send_beat(a);
-		if (now - a->link.last_received_at > SILENCE_MAX)
+			send_heartbeat(a);
+		if (now - a->link.last_received_at > SILENCE_TIMEOUT_NS)
 			peer_close(a->net, a->link.peer);
 		break;
 	}
