--- a/packages/daemon/agent.c
+++ b/packages/daemon/agent.c
@@ -3,11 +3,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define HAND_OVER_TIME	 (300 * NSEC_PER_MSEC)
-#define HTTP_BODY_MAX	 65536
-#define HTTP_CONNECTIONS 64
+#define HANDOVER_DELAY_NS    (300 * NSEC_PER_MSEC)
+#define HTTP_BODY_MAX_BYTES  65536
+#define HTTP_CONNECTIONS_MAX 64
 
-/* Encode and send a message. */
 bool agent_send_peer(struct agent *a, peer_id peer, const struct msg *m)
 {
 	struct bytes b = msg_encode(m);
@@ -17,14 +16,14 @@
 	return ok;
 }
 
-/* The agent core's way to the coordinator. */
-static void port_send(void *arg, const struct msg *m)
+/* Agent core callback: sends to the coordinator. */
+static void send_to_coord(void *arg, const struct msg *m)
 {
 	link_send(arg, m);
 }
 
-/* The connection to another agent of a gang, made when needed. */
-static peer_id gang_peer(struct agent *a, const char *addr)
+/* Returns the connection to another agent of a gang, dialling it if there is none. */
+static peer_id gang_peer_connect(struct agent *a, const char *addr)
 {
 	peer_id *known = g_hash_table_lookup(a->gang_peers, addr);
 	peer_id peer;
@@ -38,30 +37,31 @@
 	return peer;
 }
 
-/* The agent core's way to other agents; "#N" answers on an open connection. */
-static void port_send_gang(void *arg, const char *addr, const struct msg *m)
+/* Agent core callback: sends to another agent; "#N" is the open connection with id N. */
+static void send_to_gang_agent(void *arg, const char *addr, const struct msg *m)
 {
 	struct agent *a = arg;
 
 	if (addr[0] == '#')
 		agent_send_peer(a, strtoull(addr + 1, NULL, 10), m);
 	else
-		agent_send_peer(a, gang_peer(a, addr), m);
+		agent_send_peer(a, gang_peer_connect(a, addr), m);
 }
 
-/* The coordinator's way to its peers. */
-static bool coord_port_send(void *arg, peer_id peer, const struct msg *m)
+/* Coordinator callback: sends to a peer. */
+static bool coord_send_peer(void *arg, peer_id peer, const struct msg *m)
 {
 	return agent_send_peer(arg, peer, m);
 }
 
-static void coord_port_close(void *arg, peer_id peer)
+/* Coordinator callback: closes a peer's connection. */
+static void coord_close_peer(void *arg, peer_id peer)
 {
 	peer_close(((struct agent *)arg)->net, peer);
 }
 
-/* Where a gang's connection goes; NULL if it is not one. */
-static const char *gang_addr(struct agent *a, peer_id peer)
+/* Returns the address of a connection that we dialled for a gang; NULL for any other. */
+static const char *gang_peer_addr(struct agent *a, peer_id peer)
 {
 	GHashTableIter it;
 	gpointer key;
@@ -75,7 +75,6 @@
 	return NULL;
 }
 
-/* A connection is open. */
 static void on_opened(void *arg, peer_id peer, bool dialled)
 {
 	struct agent *a = arg;
@@ -85,8 +84,8 @@
 		link_peer_opened(a);
 }
 
-/* A peer introduced itself to us. */
-static void on_hello(struct agent *a, peer_id peer, const struct msg_hello *h)
+/* Passes a hello to the hosted coordinator; without one, replies with term 0. */
+static void handle_hello(struct agent *a, peer_id peer, const struct msg_hello *h)
 {
 	struct msg no = {.kind = MSG_WELCOME, .welcome = {.cell = a->cell}};
 
@@ -98,14 +97,14 @@
 	agent_send_peer(a, peer, &no);
 }
 
-/* A beat of another member of a gang, or the answer to ours. */
-static void on_gang_beat(struct agent *a, peer_id peer, const struct msg_gang_beat *b)
+/* A gang heartbeat: a reply on connections that we dialled, a request on any other. */
+static void handle_gang_beat(struct agent *a, peer_id peer, const struct msg_gang_beat *b)
 {
 	g_autofree char *reply = NULL;
 
 	if (b->job == NULL)
 		return;
-	if (gang_addr(a, peer) != NULL) {
+	if (gang_peer_addr(a, peer) != NULL) {
 		agent_core_gang_answer(a->core, loop_now(a->p->loop), b);
 		return;
 	}
@@ -113,8 +112,8 @@
 	agent_core_gang_beat(a->core, loop_now(a->p->loop), b, reply);
 }
 
-/* The term that a message carries to a coordinator; 0 for none. */
-static uint64_t seen_term(const struct msg *m)
+/* Returns the term that a message to the coordinator carries; 0 if it carries none. */
+static uint64_t message_term(const struct msg *m)
 {
 	switch (m->kind) {
 	case MSG_RESERVED:
@@ -128,7 +127,7 @@
 	}
 }
 
-/* A message came. */
+/* Decodes a message and dispatches it by its connection and kind. */
 static void on_message(void *arg, peer_id peer, const uint8_t *body, size_t len)
 {
 	struct agent *a = arg;
@@ -136,28 +135,27 @@
 	struct msg m;
 
 	if (!msg_decode(&m, body, len, &err)) {
-		log_warning("agent", "A peer sent %s.", err->message);
+		log_warning("agent", "Closing a peer connection that sent %s.", err->message);
 		peer_close(a->net, peer);
 		return;
 	}
-	if (a->host.coord != NULL && seen_term(&m) > coord_term(a->host.coord))
-		host_step_down(a, "an agent has seen a higher term");
+	if (a->host.coord != NULL && message_term(&m) > coord_term(a->host.coord))
+		host_step_down(a, "an agent reported a higher term");
 	if (link_owns_peer(a, peer))
 		link_handle_message(a, loop_now(a->p->loop), &m);
 	else if (m.kind == MSG_GANG_BEAT)
-		on_gang_beat(a, peer, &m.gang_beat);
+		handle_gang_beat(a, peer, &m.gang_beat);
 	else if (m.kind == MSG_HELLO)
-		on_hello(a, peer, &m.hello);
+		handle_hello(a, peer, &m.hello);
 	else if (a->host.coord != NULL && g_hash_table_contains(a->coord_peers, &peer))
 		coord_message(a->host.coord, loop_now(a->p->loop), peer, &m);
 	msg_clear(&m);
 }
 
-/* A connection is gone. */
 static void on_closed(void *arg, peer_id peer, const GError *why)
 {
 	struct agent *a = arg;
-	const char *addr = gang_addr(a, peer);
+	const char *addr = gang_peer_addr(a, peer);
 
 	(void)why;
 	if (addr != NULL)
@@ -169,15 +167,16 @@
 }
 
 /*
- * While stopping as the coordinator: let another agent coordinate once the entries have their
- * jobs back. Where no other agent takes work, go on until all that runs has been reported and
- * stored.
+ * Hands the term over during a graceful stop, once all queued jobs have been returned to the
+ * entries. If no other agent accepts work, waits until every running job has ended and its
+ * result has been reported and stored.
  */
-static void tick_hand_over(struct agent *a, int64_t now)
+static void check_handover(struct agent *a, int64_t now)
 {
 	if (a->host.coord == NULL || now < a->handover_at)
 		return;
-	/* Jobs that an agent has refused wait again; their return takes until the next tick. */
+	/* Jobs that an agent rejected are queued again; their return takes until the next tick.
+	 */
 	if (coord_return_waiting(a->host.coord) > 0)
 		return;
 	if (!coord_has_successor(a->host.coord, a->name) &&
@@ -187,7 +186,7 @@
 	host_step_down(a, "this process is stopping");
 }
 
-/* Twice a second. */
+/* Drives the timers of the agent core and of the connection to the coordinator. */
 static void on_tick(void *arg)
 {
 	struct agent *a = arg;
@@ -196,16 +195,16 @@
 	agent_core_tick(a->core, now);
 	link_tick(a, now);
 	if (a->stopping)
-		tick_hand_over(a, now);
+		check_handover(a, now);
 	__atomic_store_n(
 		&a->ready, a->link.state == LINK_READY && !a->stopping, __ATOMIC_RELAXED);
 }
 
-/* Start to listen. */
-static bool open_agent(struct agent *a, GError **err)
+/* Opens the peer and HTTP listeners and derives the agent's address and name. */
+static bool open_listeners(struct agent *a, GError **err)
 {
-	struct http_limits limits = {.body_max = HTTP_BODY_MAX,
-		.connections_max = HTTP_CONNECTIONS,
+	struct http_limits limits = {.body_max = HTTP_BODY_MAX_BYTES,
+		.connections_max = HTTP_CONNECTIONS_MAX,
 		.idle_timeout_s = 30,
 		.threads = 1};
 	struct options *o = a->p->options;
@@ -222,13 +221,12 @@
 	return a->http != NULL;
 }
 
-/* Start an agent. */
 struct agent *agent_new(struct process *p, GError **err)
 {
 	struct agent *a = xcalloc(1, sizeof(*a));
 	struct peer_events events = {on_opened, on_message, on_closed, a};
 	struct agent_ports ports = {
-		port_send, port_send_gang, upstream_start_task, upstream_stop_task, a};
+		send_to_coord, send_to_gang_agent, upstream_start_task, upstream_stop_task, a};
 
 	a->p = p;
 	a->cell = xstrdup(options_string(p->options, "cell"));
@@ -239,24 +237,24 @@
 	a->core = agent_core_new(&ports);
 	a->gang_peers = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	a->coord_peers = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
-	if (!open_agent(a, err)) {
+	if (!open_listeners(a, err)) {
 		agent_free(a);
 		return NULL;
 	}
 	a->tick_timer =
 		loop_timer_add(p->loop, AGENT_TICK_PERIOD_NS, AGENT_TICK_PERIOD_NS, on_tick, a);
-	log_info("agent", "Agent %s of cell %s is up. peers=%s upstream=%s", a->name, a->cell,
-		a->addr, http_server_addr(a->http));
+	log_info("agent", "Agent %s of cell %s is listening. peers=%s upstream=%s", a->name,
+		a->cell, a->addr, http_server_addr(a->http));
 	return a;
 }
 
-/* Begin a graceful stop: no new work; what runs is finished. */
+/* Begins a graceful stop: accepts no new work and lets running tasks finish. */
 void agent_stop(struct agent *a)
 {
 	int64_t now = loop_now(a->p->loop);
 
 	a->stopping = true;
-	a->handover_at = now + HAND_OVER_TIME;
+	a->handover_at = now + HANDOVER_DELAY_NS;
 	agent_core_drain(a->core);
 	agent_core_report(a->core, now);
 	if (a->host.coord != NULL)
@@ -264,8 +262,8 @@
 }
 
 /*
- * Whether nothing runs any more and a coordinator has every result: one that no coordinator
- * has heard of would be lost with this process.
+ * Whether nothing runs and a coordinator has acknowledged every result: an unacknowledged
+ * result would be lost when this process exits.
  */
 bool agent_idle(const struct agent *a)
 {
@@ -273,14 +271,13 @@
 	       agent_core_unacked(a->core) == 0;
 }
 
-/* What keeps a stopping agent from ending, for the log. */
 char *agent_describe_pending(const struct agent *a)
 {
 	return g_strdup_printf("coordinates=%d running=%zu unacknowledged=%zu",
 		a->host.coord != NULL, agent_core_live(a->core), agent_core_unacked(a->core));
 }
 
-/* Stop at once. */
+/* Stops at once and frees the agent, releasing the lease if it coordinates. */
 void agent_free(struct agent *a)
 {
 	if (a == NULL)
@@ -301,16 +298,16 @@
 	free(a);
 }
 
-/* Where the upstream announces itself. */
+/* Returns the address on which the upstream announces itself. */
 const char *agent_http_addr(const struct agent *a)
 {
 	return http_server_addr(a->http);
 }
 
-/* The ports of a coordinator hosted here. */
+/* Creates a coordinator that communicates through this agent's connections. */
 struct coord *agent_create_coord(struct agent *a)
 {
-	struct coord_ports ports = {coord_port_send, coord_port_close, a};
+	struct coord_ports ports = {coord_send_peer, coord_close_peer, a};
 
 	return coord_new(a->cell, &ports);
 }
