--- a/packages/daemon/main.c
+++ b/packages/daemon/main.c
@@ -7,30 +7,31 @@
 #include <sys/epoll.h>
 #include <unistd.h>
 
-#define EXIT_USAGE  2
-#define STOP_PERIOD (50 * NSEC_PER_MSEC)
-
-enum role {
-	RUN_ENTRY = 1,
-	RUN_AGENT = 2,
-	RUN_STANDALONE = 3,
-	RUN_WORKLOAD_ENTRY = 4,
-	RUN_WORKLOAD_AGENT = 5
+#define EXIT_USAGE	    2
+#define STOP_POLL_PERIOD_NS (50 * NSEC_PER_MSEC)
+
+enum daemon_role {
+	DAEMON_ROLE_ENTRY = 1,
+	DAEMON_ROLE_AGENT = 2,
+	DAEMON_ROLE_STANDALONE = 3,
+	DAEMON_ROLE_WORKLOAD_ENTRY = 4,
+	DAEMON_ROLE_WORKLOAD_AGENT = 5
 };
 
 static const struct role_entry {
 	const char *name;
-	enum role role;
+	enum daemon_role role;
 	const char *help;
 } roles[] = {
-	{"entry", RUN_ENTRY, "serve callers and operators"},
-	{"agent", RUN_AGENT,
-		"stand beside an upstream; coordinate the cell when it falls to us"},
-	{"workload-entry", RUN_WORKLOAD_ENTRY,
+	{"entry", DAEMON_ROLE_ENTRY, "serve callers and operators"},
+	{"agent", DAEMON_ROLE_AGENT,
+		"run next to an upstream; coordinate the cell while holding its term"},
+	{"workload-entry", DAEMON_ROLE_WORKLOAD_ENTRY,
 		"serve callers of jobs of steps on the users' platform"},
-	{"workload-agent", RUN_WORKLOAD_AGENT,
-		"stand beside a worker of that platform; coordinate when it falls to us"},
-	{"standalone", RUN_STANDALONE, "all in one process with a store in memory"},
+	{"workload-agent", DAEMON_ROLE_WORKLOAD_AGENT,
+		"run next to a worker of that platform; coordinate while holding the term"},
+	{"standalone", DAEMON_ROLE_STANDALONE,
+		"run an entry and an agent in one process with an in-memory store"},
 };
 
 struct program {
@@ -39,11 +40,10 @@
 	struct entry *entry;
 	int signal_fd;
 	bool stopping;
-	int64_t stop_at;
+	int64_t stop_limit_at;
 	int exit_code;
 };
 
-/* Print how the program is called. */
 static void print_usage(FILE *out)
 {
 	fprintf(out, "usage: damaskpathd ROLE [--SETTING=VALUE ...]\n"
@@ -53,7 +53,6 @@
 		fprintf(out, "  %-12s %s\n", roles[i].name, roles[i].help);
 }
 
-/* Find a role by name. */
 static const struct role_entry *find_role(const char *name)
 {
 	for (size_t i = 0; i < ARRAY_LEN(roles); i++) {
@@ -63,28 +62,27 @@
 	return NULL;
 }
 
-/* While stopping: end when nothing is in flight, or at the limit. */
-static void check_stopped(void *arg)
+/* Ends a graceful stop once nothing is in flight or the stop limit is reached. */
+static void finish_stop_when_idle(void *arg)
 {
 	struct program *p = arg;
 	bool idle = (p->entry == NULL || entry_idle(p->entry)) &&
 		    (p->agent == NULL || agent_idle(p->agent));
 
-	if (!idle && loop_now(p->process.loop) < p->stop_at)
+	if (!idle && loop_now(p->process.loop) < p->stop_limit_at)
 		return;
 	if (!idle) {
 		g_autofree char *why = p->agent != NULL ? agent_describe_pending(p->agent)
 							: g_strdup("callers");
 
-		log_warning("main", "The limit for stopping has passed with work in flight. %s",
-			why);
+		log_warning("main", "The stop limit was reached with work in flight. %s", why);
 		p->exit_code = 1;
 	}
 	loop_stop(p->process.loop);
 }
 
-/* A signal: begin a graceful stop. */
-static void on_signal(uint32_t events, void *arg)
+/* Begins a graceful stop on the first signal; later ones are ignored. */
+static void handle_stop_signal(uint32_t events, void *arg)
 {
 	struct program *p = arg;
 	struct signalfd_siginfo info;
@@ -92,18 +90,19 @@
 	(void)events;
 	if (read(p->signal_fd, &info, sizeof(info)) != sizeof(info) || p->stopping)
 		return;
-	log_info("main", "Stopping: no new work is taken, what is in flight is finished.");
+	log_info("main", "Stopping: accepting no new work, finishing work in flight.");
 	p->stopping = true;
-	p->stop_at = loop_now(p->process.loop) + p->process.stop_limit;
+	p->stop_limit_at = loop_now(p->process.loop) + p->process.stop_limit;
 	if (p->entry != NULL)
 		entry_stop(p->entry);
 	if (p->agent != NULL)
 		agent_stop(p->agent);
-	loop_timer_add(p->process.loop, STOP_PERIOD, STOP_PERIOD, check_stopped, p);
+	loop_timer_add(p->process.loop, STOP_POLL_PERIOD_NS, STOP_POLL_PERIOD_NS,
+		finish_stop_when_idle, p);
 }
 
-/* Write the sections of a file into a store that is empty. */
-static bool load_config(struct store *s, const char *path, GError **err)
+/* Writes the sections of a configuration file into an empty store. */
+static bool load_config_file(struct store *s, const char *path, GError **err)
 {
 	struct doc_problems problems = STAILQ_HEAD_INITIALIZER(problems);
 	g_autoptr(GPtrArray) sections = g_ptr_array_new_with_free_func(doc_section_free);
@@ -134,38 +133,38 @@
 	return ok;
 }
 
-/* Open the store that the role uses. */
-static bool open_store(struct program *p, enum role role, GError **err)
+/* Opens etcd, or for standalone an in-memory store with the configured document. */
+static bool open_store(struct program *p, enum daemon_role role, GError **err)
 {
 	struct options *o = p->process.options;
 
-	if (role != RUN_STANDALONE) {
+	if (role != DAEMON_ROLE_STANDALONE) {
 		p->process.store = store_etcd_new(
 			options_string(o, "store"), options_number(o, "store-timeout"));
 		return true;
 	}
 	p->process.store = store_embedded_new(&clock_system);
 	return *options_string(o, "config") == '\0' ||
-	       load_config(p->process.store, options_string(o, "config"), err);
+	       load_config_file(p->process.store, options_string(o, "config"), err);
 }
 
-/* Run a role of our own deployments until it is stopped. */
-static int run_role(enum role role, struct options *o)
+/* Runs entry, agent or standalone until it is stopped; returns the exit code. */
+static int run_own_role(enum daemon_role role, struct options *o)
 {
 	struct program p = {.signal_fd = process_open_signals(false)};
 	g_autoptr(GError) err = NULL;
 	bool ok = process_init(&p.process, o, &err) && open_store(&p, role, &err);
 
-	if (ok && (role & RUN_AGENT)) {
+	if (ok && (role & DAEMON_ROLE_AGENT)) {
 		p.agent = agent_new(&p.process, &err);
 		ok = p.agent != NULL;
 	}
-	if (ok && (role & RUN_ENTRY)) {
+	if (ok && (role & DAEMON_ROLE_ENTRY)) {
 		p.entry = entry_new(&p.process, &err);
 		ok = p.entry != NULL;
 	}
 	if (ok) {
-		loop_add_fd(p.process.loop, p.signal_fd, EPOLLIN, on_signal, &p);
+		loop_add_fd(p.process.loop, p.signal_fd, EPOLLIN, handle_stop_signal, &p);
 		loop_run(p.process.loop);
 	} else {
 		fprintf(stderr, "damaskpathd: %s\n", err->message);
@@ -181,16 +180,16 @@
 	return p.exit_code;
 }
 
-/* Run a role until it is stopped. */
-static int run(enum role role, struct options *o)
+static int run(enum daemon_role role, struct options *o)
 {
-	if (role == RUN_WORKLOAD_ENTRY)
+	if (role == DAEMON_ROLE_WORKLOAD_ENTRY)
 		return wl_process_run(WL_ROLE_ENTRY, o);
-	if (role == RUN_WORKLOAD_AGENT)
+	if (role == DAEMON_ROLE_WORKLOAD_AGENT)
 		return wl_process_run(WL_ROLE_AGENT, o);
-	return run_role(role, o);
+	return run_own_role(role, o);
 }
-/* Take a flag that is not a setting out of the arguments. */
+
+/* Removes a flag that is not a setting from the arguments; true if it was there. */
 static bool take_flag(int *argc, char **argv, const char *flag)
 {
 	for (int i = 1; i < *argc; i++) {
