--- a/packages/daemon/process.c
+++ b/packages/daemon/process.c
@@ -7,7 +7,7 @@
 
 #define POOL_THREADS 4
 
-/* Set up what the settings name; the store is left to the caller where there is no URL. */
+/* Initializes everything but the store, which the caller opens. */
 bool process_init(struct process *p, struct options *o, GError **err)
 {
 	enum log_level level;
@@ -31,7 +31,7 @@
 	return true;
 }
 
-/* Finish the blocking calls under way; their owners may be freed afterwards. */
+/* Waits for the blocking calls on the pool; their owners may be freed afterwards. */
 void process_stop_pool(struct process *p)
 {
 	if (p->pool != NULL)
@@ -39,7 +39,6 @@
 	p->pool = NULL;
 }
 
-/* Free all. */
 void process_clear(struct process *p)
 {
 	process_stop_pool(p);
@@ -49,7 +48,7 @@
 	keyring_free(p->keys);
 }
 
-/* Block the signals that the loop reads, and give the descriptor that they come from. */
+/* Blocks the signals that the loop handles and returns a signalfd for them; ignores SIGPIPE. */
 int process_open_signals(bool reload)
 {
 	sigset_t set;
