--- a/packages/standin/standin-upstream.c
+++ b/packages/standin/standin-upstream.c
@@ -10,13 +10,13 @@
 #include <unistd.h>
 
 /*
- * Stands in for an upstream: announces itself to the agent beside it and runs tasks that do
- * nothing but wait. A task's payload may be JSON: {"sleep_ms":N}, {"fail":true},
- * {"refuse":true}, {"ignore_stop":true}, {"tag":"..."}; the answer is the payload itself. The
- * beginning and the end of each task are printed, so that tests can count runs.
+ * A fake upstream for tests: announces itself to an agent and runs tasks that only sleep. A
+ * task's payload may be JSON: {"sleep_ms":N}, {"fail":true}, {"refuse":true},
+ * {"ignore_stop":true}, {"tag":"..."}; the response echoes the payload. The start and the end
+ * of each task are printed, so that tests can count runs.
  */
 
-#define ANNOUNCE_PERIOD (NSEC_PER_SEC)
+#define ANNOUNCE_PERIOD_NS (NSEC_PER_SEC)
 
 struct task {
 	char *name;
@@ -28,7 +28,7 @@
 	char *type;
 	bool ignore_stop;
 	bool fail;
-	int64_t began;
+	int64_t started_at;
 };
 
 struct standin {
@@ -43,21 +43,21 @@
 	int cores;
 	int memory_mb;
 	bool fail_all;
-	bool leaving;
+	bool draining;
 	GHashTable *tasks;
 	int signal_fd;
 };
 
 static struct standin standin;
 
-/* Note what became of a task: the word, its name, the tag in its payload, the time. */
-static void log_run(const char *word, const struct task *t)
+/* Prints an event of a task: the event, the task's name, its tag and the time. */
+static void print_task_event(const char *event, const struct task *t)
 {
-	printf("%s %s %s %lld\n", word, t->name, t->tag, (long long)loop_now(standin.loop));
+	printf("%s %s %s %lld\n", event, t->name, t->tag, (long long)loop_now(standin.loop));
 	fflush(stdout);
 }
 
-/* Free a task; for the table. */
+/* Value destructor of the task table. */
 static void task_free(void *p)
 {
 	struct task *t = p;
@@ -70,26 +70,25 @@
 	free(t);
 }
 
-/* End a task with an answer. */
-static void finish(struct task *t, int status, const char *word)
+/* Responds to the request of a task and removes the task. */
+static void finish_task(struct task *t, int status, const char *event)
 {
 	loop_timer_del(standin.loop, t->timer);
-	log_run(word, t);
+	print_task_event(event, t);
 	http_reply(t->request, status, t->type != NULL ? t->type : "application/octet-stream",
 		t->payload.data, t->payload.len);
 	g_hash_table_remove(standin.tasks, t->name);
 }
 
-/* A task's time is over. */
-static void on_time(void *arg)
+static void on_task_timer(void *arg)
 {
 	struct task *t = arg;
 
-	finish(t, t->fail ? 500 : 200, t->fail ? "failed" : "done");
+	finish_task(t, t->fail ? 500 : 200, t->fail ? "failed" : "done");
 }
 
-/* Begin a task. Posted to the loop. */
-static void begin(void *arg)
+/* Starts a task, or rejects it with 503. Runs on the loop. */
+static void start_task(void *arg)
 {
 	struct task *t = arg;
 	json_t *o = json_loadb(t->payload.data, t->payload.len, 0, NULL);
@@ -102,55 +101,55 @@
 	t->fail = standin.fail_all || json_is_true(json_object_get(o, "fail"));
 	t->ignore_stop = json_is_true(json_object_get(o, "ignore_stop"));
 	json_decref(o);
-	if (refuse || standin.leaving) {
+	if (refuse || standin.draining) {
 		http_reply_text(t->request, 503, "text/plain", "not begun\n");
 		task_free(t);
 		return;
 	}
-	log_run("begin", t);
-	t->began = loop_now(standin.loop);
+	print_task_event("begin", t);
+	t->started_at = loop_now(standin.loop);
 	g_hash_table_replace(standin.tasks, t->name, t);
-	t->timer = loop_timer_add(standin.loop, sleep_ms * NSEC_PER_MSEC, 0, on_time, t);
+	t->timer = loop_timer_add(standin.loop, sleep_ms * NSEC_PER_MSEC, 0, on_task_timer, t);
 }
 
-/* A word about a task: stop, checkpoint or throttle. */
-struct word {
+/* A command for a task: stop, checkpoint or throttle. */
+struct task_command {
 	struct http_request *request;
 	char *task;
-	char *word;
+	char *name;
 };
 
-/* Handle a word on the loop. */
-static void on_word(void *arg)
+/* Runs a command on a task. Runs on the loop. */
+static void run_command(void *arg)
 {
-	struct word *w = arg;
-	struct task *t = g_hash_table_lookup(standin.tasks, w->task);
+	struct task_command *c = arg;
+	struct task *t = g_hash_table_lookup(standin.tasks, c->task);
 
 	if (t == NULL) {
-		http_reply_text(w->request, 404, "text/plain", "no such task\n");
-	} else if (strcmp(w->word, "stop") == 0) {
-		http_reply_text(w->request, 200, "text/plain", "ok\n");
+		http_reply_text(c->request, 404, "text/plain", "no such task\n");
+	} else if (strcmp(c->name, "stop") == 0) {
+		http_reply_text(c->request, 200, "text/plain", "ok\n");
 		if (!t->ignore_stop) {
 			bytes_clear(&t->payload);
 			t->payload = bytes_copy("stopped\n", 8);
-			finish(t, 409, "stopped");
+			finish_task(t, 409, "stopped");
 		}
-	} else if (strcmp(w->word, "checkpoint") == 0) {
+	} else if (strcmp(c->name, "checkpoint") == 0) {
 		char state[64];
 		int len = snprintf(state, sizeof(state), "{\"ran_ms\":%lld}",
-			(long long)((loop_now(standin.loop) - t->began) / NSEC_PER_MSEC));
+			(long long)((loop_now(standin.loop) - t->started_at) / NSEC_PER_MSEC));
 
-		http_reply(w->request, 200, "application/json", state, (size_t)len);
+		http_reply(c->request, 200, "application/json", state, (size_t)len);
 	} else {
-		http_reply_text(w->request, 200, "text/plain", "ok\n");
+		http_reply_text(c->request, 200, "text/plain", "ok\n");
 	}
-	free(w->task);
-	free(w->word);
-	free(w);
+	free(c->task);
+	free(c->name);
+	free(c);
 }
 
 /* POST /tasks. */
-static void on_task(struct http_request *r)
+static void handle_task(struct http_request *r)
 {
 	struct task *t = xcalloc(1, sizeof(*t));
 	const char *job = http_header(r, "Damaskpath-Job");
@@ -163,38 +162,36 @@
 		member != NULL ? member : "0");
 	t->type = xstrdup(http_header(r, "Content-Type"));
 	t->payload = bytes_copy(http_body(r)->data, http_body(r)->len);
-	loop_post(standin.loop, begin, t);
+	loop_post(standin.loop, start_task, t);
 }
 
-/* A request. */
-static void on_request(struct http_request *r, void *arg)
+static void handle_request(struct http_request *r, void *arg)
 {
 	const char *path = http_path(r);
 
 	(void)arg;
 	if (strcmp(path, "/tasks") == 0) {
-		on_task(r);
+		handle_task(r);
 	} else if (g_str_has_prefix(path, "/tasks/") && strrchr(path, '/') > path + 6) {
-		struct word *w = xcalloc(1, sizeof(*w));
+		struct task_command *c = xcalloc(1, sizeof(*c));
 		const char *slash = strrchr(path, '/');
 
-		w->request = r;
-		w->task = bytes_copy(path + 7, (size_t)(slash - path - 7)).data;
-		w->word = xstrdup(slash + 1);
-		loop_post(standin.loop, on_word, w);
+		c->request = r;
+		c->task = bytes_copy(path + 7, (size_t)(slash - path - 7)).data;
+		c->name = xstrdup(slash + 1);
+		loop_post(standin.loop, run_command, c);
 	} else {
 		http_reply_text(r, 404, "text/plain", "no such path\n");
 	}
 }
 
-/* The agent answered an announcement. */
-static void on_announced(struct http_call *c, void *arg)
+static void free_announce_call(struct http_call *c, void *arg)
 {
 	(void)arg;
 	http_call_free(c);
 }
 
-/* Announce ourselves, or that we leave. */
+/* Announces this upstream to the agent, or that it is leaving while draining. */
 static void announce(void *arg)
 {
 	AUTOFREE char *url = NULL;
@@ -203,7 +200,7 @@
 
 	(void)arg;
 	xasprintf(&url, "http://%s/v1/upstream", standin.agent);
-	c = http_call_new(standin.leaving ? "DELETE" : "POST", url);
+	c = http_call_new(standin.draining ? "DELETE" : "POST", url);
 	o = json_pack("{s:s,s:s,s:s,s:i,s:i,s:i,s:i,s:i,s:f}", "address",
 		http_server_addr(standin.http), "worker", standin.worker, "rack", standin.rack,
 		"accelerators", standin.accelerators, "slots", standin.slots, "connections", 64,
@@ -212,11 +209,11 @@
 	c->body.len = strlen(c->body.data);
 	json_decref(o);
 	c->timeout = NSEC_PER_SEC;
-	c->done = on_announced;
+	c->done = free_announce_call;
 	http_client_send(standin.client, c);
 }
 
-/* End once no task is left. */
+/* Ends the process once no task is left. */
 static void check_idle(void *arg)
 {
 	(void)arg;
@@ -224,7 +221,7 @@
 		loop_stop(standin.loop);
 }
 
-/* A signal: leave, finish the tasks, end. */
+/* Deregisters and lets running tasks finish before the process ends. */
 static void on_signal(uint32_t events, void *arg)
 {
 	struct signalfd_siginfo info;
@@ -233,13 +230,12 @@
 	(void)arg;
 	if (read(standin.signal_fd, &info, sizeof(info)) != sizeof(info))
 		return;
-	standin.leaving = true;
+	standin.draining = true;
 	announce(NULL);
 	loop_timer_add(
 		standin.loop, 300 * NSEC_PER_MSEC, 100 * NSEC_PER_MSEC, check_idle, NULL);
 }
 
-/* Read the command line. */
 static bool parse_args(int argc, char **argv, char **http)
 {
 	struct arg_str *listen = arg_str0(NULL, "http", "IP:PORT", "address for tasks");
@@ -294,13 +290,13 @@
 	standin.tasks = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, task_free);
 	standin.loop = loop_new(&clock_system);
 	standin.client = http_client_new(standin.loop);
-	standin.http = http_server_new(http, &limits, on_request, NULL, &err);
+	standin.http = http_server_new(http, &limits, handle_request, NULL, &err);
 	if (standin.http == NULL) {
 		fprintf(stderr, "standin-upstream: %s\n", err->message);
 		return 1;
 	}
 	loop_add_fd(standin.loop, standin.signal_fd, EPOLLIN, on_signal, NULL);
-	loop_timer_add(standin.loop, 0, ANNOUNCE_PERIOD, announce, NULL);
+	loop_timer_add(standin.loop, 0, ANNOUNCE_PERIOD_NS, announce, NULL);
 	printf("ready %s\n", http_server_addr(standin.http));
 	fflush(stdout);
 	loop_run(standin.loop);
