--- a/packages/bench/bench-policy.c
+++ b/packages/bench/bench-policy.c
@@ -535,7 +535,7 @@
 		b->t.refused++;
 	if (a->done && b->now <= HORIZON)
 		b->t.useful += (double)a->run / (double)SEC * a->accelerators;
-	sched_forget(b->sched, a->ref);
+	sched_remove_job(b->sched, a->ref);
 }
 
 /* Carry out what the core decided. */
@@ -547,10 +547,10 @@
 		struct sched_job *j = sched_job(b->sched, act.job);
 		struct arrival *a = j != NULL ? j->owner : NULL;
 
-		if (a != NULL && act.kind == SCHED_PLACE) {
+		if (a != NULL && act.kind == SCHED_ACTION_PLACE) {
 			a->attempt = act.attempt;
 			push(b, b->now + START_TIME, EVENT_START, a, act.attempt);
-		} else if (a != NULL && act.kind == SCHED_STOP) {
+		} else if (a != NULL && act.kind == SCHED_ACTION_STOP) {
 			push(b, b->now + STOP_TIME, EVENT_STOPPED, a, act.attempt);
 		} else if (a != NULL) {
 			on_end(b, a, &act);
--- a/packages/bench/bench-scale.c
+++ b/packages/bench/bench-scale.c
@@ -276,7 +276,7 @@
 		u.worker = f->name;
 		u.rack = rack;
 		u.zone = "z";
-		agent_core_announce(f->core, loop_now(s->loop), &u);
+		agent_core_upstream_announced(f->core, loop_now(s->loop), &u);
 		s->len = i + 1;
 		f->peer = peer_dial(s->net, s->coordinator, NULL);
 	}
@@ -392,7 +392,7 @@
 			continue;
 		sched_run(s, now);
 		while (sched_next(s, &a)) {
-			if (a.kind == SCHED_PLACE)
+			if (a.kind == SCHED_ACTION_PLACE)
 				sched_started(s, now, a.job, a.attempt);
 			sched_action_clear(&a);
 		}
--- a/packages/bench/bench-workload.c
+++ b/packages/bench/bench-workload.c
@@ -273,7 +273,7 @@
 		.reclaim_max = 2900 * NSEC_PER_MSEC,
 		.retention = 150 * NSEC_PER_SEC};
 	struct sim s = {.now = 100 * NSEC_PER_SEC};
-	const struct wl_out out = {.start = on_start,
+	const struct wl_callbacks out = {.start = on_start,
 		.stop = on_stop,
 		.pace = on_pace,
 		.dirty = on_dirty,
@@ -323,7 +323,7 @@
 				report(&s, n);
 		}
 		store(&s);
-		if (wl_wants_pass(s.wl) || s.now % (100 * NSEC_PER_MSEC) == 0) {
+		if (wl_pass_needed(s.wl) || s.now % (100 * NSEC_PER_MSEC) == 0) {
 			double t = cpu_now();
 
 			wl_pass(s.wl, s.now, s.now);
--- a/packages/coordination/agent-core.c
+++ b/packages/coordination/agent-core.c
@@ -42,7 +42,7 @@
 
 	fields_clear(&member_record_fields, &m->record);
 	bytes_clear(&m->checkpoint);
-	free(m->gang_seen);
+	free(m->gang_last_seen);
 	free(m);
 }
 
@@ -123,13 +123,13 @@
 }
 
 /* Number of members that are not ended. */
-size_t agent_core_live(const struct agent_core *a)
+size_t agent_core_live_members(const struct agent_core *a)
 {
 	return a->live;
 }
 
 /* Number of ended members that the coordinator has not acknowledged. */
-size_t agent_core_unacked(const struct agent_core *a)
+size_t agent_core_unacked_ends(const struct agent_core *a)
 {
 	GHashTableIter it;
 	gpointer value;
@@ -145,7 +145,7 @@
 }
 
 /* Accelerators of the members that are not ended. */
-uint32_t agent_core_busy(const struct agent_core *a)
+uint32_t agent_core_busy_accelerators(const struct agent_core *a)
 {
 	return a->busy;
 }
@@ -225,7 +225,8 @@
 }
 
 /* The upstream announced itself, or renewed. */
-void agent_core_announce(struct agent_core *a, int64_t now, const struct agent_upstream *u)
+void agent_core_upstream_announced(
+	struct agent_core *a, int64_t now, const struct agent_upstream *u)
 {
 	struct agent_upstream *mine = &a->upstream;
 	bool changed = !mine->known || mine->accelerators != u->accelerators ||
@@ -245,7 +246,7 @@
 }
 
 /* The upstream is leaving: what runs goes on, nothing new comes. */
-void agent_core_leave(struct agent_core *a, int64_t now)
+void agent_core_upstream_leaving(struct agent_core *a, int64_t now)
 {
 	a->upstream.leaving = true;
 	agent_core_report(a, now);
@@ -338,9 +339,9 @@
 		return "the attempt is void";
 	if (old != NULL && is_live(old))
 		return "an earlier attempt is still here";
-	if (agent_core_live(a) >= MIN(a->upstream.slots, a->upstream.connections))
+	if (agent_core_live_members(a) >= MIN(a->upstream.slots, a->upstream.connections))
 		return "no slot is free";
-	if (agent_core_busy(a) + r->accelerators > a->upstream.accelerators)
+	if (agent_core_busy_accelerators(a) + r->accelerators > a->upstream.accelerators)
 		return "no accelerators are free";
 	return NULL;
 }
@@ -350,9 +351,9 @@
 {
 	m->record.state = MEMBER_RUNNING;
 	m->started_at = now;
-	m->gang_heard = now;
-	for (uint32_t i = 0; m->gang_seen != NULL && i < m->record.size; i++)
-		m->gang_seen[i] = now;
+	m->gang_last_heard = now;
+	for (uint32_t i = 0; m->gang_last_seen != NULL && i < m->record.size; i++)
+		m->gang_last_seen[i] = now;
 	counter_add(&members_started, 1);
 	a->ports.start_task(a->ports.arg, m);
 }
@@ -383,10 +384,10 @@
 	m->record.accelerators = r->accelerators;
 	m->record.state = MEMBER_RESERVED;
 	m->record.roster = xstrdup(r->roster);
-	m->reserved_until = now + AGENT_RESERVE_LEASE;
+	m->reserved_until = now + AGENT_RESERVE_LEASE_NS;
 	m->checkpoint = bytes_copy(r->checkpoint.data, r->checkpoint.len);
 	if (r->size > 1 && r->member == 0)
-		m->gang_seen = xcalloc(r->size, sizeof(*m->gang_seen));
+		m->gang_last_seen = xcalloc(r->size, sizeof(*m->gang_last_seen));
 	g_hash_table_replace(a->members, m->record.spec.id, m);
 	a->live++;
 	a->busy += m->record.accelerators;
@@ -427,7 +428,7 @@
 	}
 	m->record.state = MEMBER_STOPPING;
 	m->stop_sent = mode != STOP_CHECKPOINT;
-	m->stop_by = now + grace;
+	m->stop_deadline = now + grace;
 	a->ports.stop_task(a->ports.arg, m, mode);
 }
 
@@ -541,7 +542,7 @@
 		m->checkpoint = bytes_copy(state->data, state->len);
 	}
 	m->stop_sent = true;
-	m->stop_by = now;
+	m->stop_deadline = now;
 	a->ports.stop_task(a->ports.arg, m, STOP_NOW);
 }
 
@@ -583,8 +584,8 @@
 	struct msg out = {.kind = MSG_GANG_BEAT, .gang_beat = *b};
 
 	out.gang_beat.alive = m != NULL && (is_well(m) || m->record.state == MEMBER_RESERVED);
-	if (m != NULL && m->gang_seen != NULL && b->member < m->record.size && b->alive) {
-		m->gang_seen[b->member] = b->done ? INT64_MAX : now;
+	if (m != NULL && m->gang_last_seen != NULL && b->member < m->record.size && b->alive) {
+		m->gang_last_seen[b->member] = b->done ? INT64_MAX : now;
 		if (m->record.state == MEMBER_ENDED)
 			m->ended_at = now;
 	}
@@ -592,14 +593,15 @@
 }
 
 /* Another member hears member 0. */
-void agent_core_gang_answer(struct agent_core *a, int64_t now, const struct msg_gang_beat *b)
+void agent_core_gang_beat_reply(
+	struct agent_core *a, int64_t now, const struct msg_gang_beat *b)
 {
 	struct agent_member *m = find_member(a, b->job, b->attempt);
 
 	if (m == NULL || m->record.state != MEMBER_RUNNING)
 		return;
 	if (b->alive) {
-		m->gang_heard = now;
+		m->gang_last_heard = now;
 		return;
 	}
 	counter_add(&gangs_cut, 1);
@@ -610,9 +612,9 @@
 static bool lost_gang(const struct agent_member *m, int64_t now)
 {
 	if (m->record.member != 0)
-		return now - m->gang_heard > AGENT_GANG_LEASE;
+		return now - m->gang_last_heard > AGENT_GANG_LEASE_NS;
 	for (uint32_t i = 1; i < m->record.size; i++) {
-		if (now - m->gang_seen[i] > AGENT_GANG_LEASE)
+		if (now - m->gang_last_seen[i] > AGENT_GANG_LEASE_NS)
 			return true;
 	}
 	return false;
@@ -646,14 +648,14 @@
 			m->record.spec.id, m->record.attempt);
 		end_member(a, now, m, MEMBER_END_NEVER_STARTED);
 	}
-	if (m->record.state == MEMBER_STOPPING && now > m->stop_by) {
-		m->stop_by = now + STOP_PATIENCE;
+	if (m->record.state == MEMBER_STOPPING && now > m->stop_deadline) {
+		m->stop_deadline = now + STOP_PATIENCE;
 		m->stop_sent = true;
 		a->ports.stop_task(a->ports.arg, m, STOP_NOW);
 	}
 	tick_gang(a, now, m);
 	return m->record.state == MEMBER_ENDED && m->acked && a->connected &&
-	       now - m->ended_at > AGENT_ENDED_KEPT;
+	       now - m->ended_at > AGENT_ENDED_TTL_NS;
 }
 
 /* Enforce times; call about once a second. */
--- a/packages/coordination/agent-core.h
+++ b/packages/coordination/agent-core.h
@@ -10,12 +10,12 @@
  */
 
 /* A reservation that is not started within this time ends. */
-#define AGENT_RESERVE_LEASE (10 * NSEC_PER_SEC)
-#define AGENT_GANG_BEAT_NS  NSEC_PER_SEC
+#define AGENT_RESERVE_LEASE_NS (10 * NSEC_PER_SEC)
+#define AGENT_GANG_BEAT_NS     NSEC_PER_SEC
 /* A gang member that hears no heartbeat for this long stops. */
-#define AGENT_GANG_LEASE (5 * NSEC_PER_SEC)
+#define AGENT_GANG_LEASE_NS (5 * NSEC_PER_SEC)
 /* How long a member is kept after its end was acknowledged. */
-#define AGENT_ENDED_KEPT (60 * NSEC_PER_SEC)
+#define AGENT_ENDED_TTL_NS (60 * NSEC_PER_SEC)
 
 /* The upstream as it announced itself last. */
 struct agent_upstream {
@@ -40,12 +40,12 @@
 	int64_t reserved_until;
 	int64_t started_at;
 	int64_t ended_at;
-	int64_t stop_by;    /* when the task is stopped again, with STOP_NOW */
-	bool acked;	    /* the coordinator has acknowledged the end */
-	bool stop_sent;	    /* the task was asked to stop, not just to checkpoint */
-	bool never_started; /* ended while still reserved */
-	int64_t gang_heard; /* last reply of member 0 */
-	int64_t *gang_seen; /* member 0 only: last heartbeat of each, INT64_MAX if done */
+	int64_t stop_deadline;	 /* when the task is stopped again, with STOP_NOW */
+	bool acked;		 /* the coordinator has acknowledged the end */
+	bool stop_sent;		 /* the task was asked to stop, not just to checkpoint */
+	bool never_started;	 /* ended while still reserved */
+	int64_t gang_last_heard; /* last reply of member 0 */
+	int64_t *gang_last_seen; /* member 0 only: last heartbeat of each, INT64_MAX if done */
 	struct bytes checkpoint;
 };
 
@@ -68,22 +68,24 @@
 const struct agent_upstream *agent_core_upstream(const struct agent_core *a);
 bool agent_core_adopt_term(struct agent_core *a, int64_t now, uint64_t term);
 void agent_core_lost_coordinator(struct agent_core *a);
-void agent_core_announce(struct agent_core *a, int64_t now, const struct agent_upstream *u);
-void agent_core_leave(struct agent_core *a, int64_t now);
+void agent_core_upstream_announced(
+	struct agent_core *a, int64_t now, const struct agent_upstream *u);
+void agent_core_upstream_leaving(struct agent_core *a, int64_t now);
 void agent_core_drain(struct agent_core *a);
 void agent_core_report(struct agent_core *a, int64_t now);
 void agent_core_message(struct agent_core *a, int64_t now, const struct msg *m);
 void agent_core_gang_beat(
 	struct agent_core *a, int64_t now, const struct msg_gang_beat *m, const char *reply_to);
-void agent_core_gang_answer(struct agent_core *a, int64_t now, const struct msg_gang_beat *m);
+void agent_core_gang_beat_reply(
+	struct agent_core *a, int64_t now, const struct msg_gang_beat *m);
 void agent_core_task_ended(struct agent_core *a, int64_t now, const char *job, uint32_t attempt,
 	enum member_end end, const struct job_result *result);
 void agent_core_checkpointed(struct agent_core *a, int64_t now, const char *job,
 	uint32_t attempt, const struct bytes *state);
 void agent_core_tick(struct agent_core *a, int64_t now);
-size_t agent_core_live(const struct agent_core *a);
-size_t agent_core_unacked(const struct agent_core *a);
-uint32_t agent_core_busy(const struct agent_core *a);
+size_t agent_core_live_members(const struct agent_core *a);
+size_t agent_core_unacked_ends(const struct agent_core *a);
+uint32_t agent_core_busy_accelerators(const struct agent_core *a);
 bool agent_core_serving(const struct agent_core *a, int64_t now);
 
 #endif
--- a/packages/coordination/coord-agent.c
+++ b/packages/coordination/coord-agent.c
@@ -9,7 +9,7 @@
 static const struct field_table *report_fields(void);
 
 /* Free an agent's record. */
-void agent_record_free(void *p)
+void coord_agent_free(void *p)
 {
 	struct coord_agent *a = p;
 
@@ -54,7 +54,7 @@
 }
 
 /* Whether an agent is connected, has told its inventory and did not restart since. */
-bool agent_same(struct coord *c, const char *name, uint64_t incarnation)
+bool agent_is_same_incarnation(struct coord *c, const char *name, uint64_t incarnation)
 {
 	const struct coord_agent *a = g_hash_table_lookup(c->agents, name);
 
@@ -64,11 +64,11 @@
 /* A dead or restarted agent: what it may have started is lost. */
 static void bury(struct coord *c, int64_t now, struct coord_agent *a)
 {
-	coord_note_gone(c, now, a);
+	coord_record_dead_agent(c, now, a);
 	if (a->has_worker)
 		sched_worker_down(c->sched, now, a->worker);
-	settle_forget(c, a);
-	run_member_gone(c, now, a, false);
+	settle_drop_inventory(c, a);
+	run_close_members(c, now, a, false);
 }
 
 /* Welcome an agent; it answers with its report and inventory. */
@@ -94,7 +94,7 @@
 		return;
 	a = g_hash_table_lookup(c->agents, h->name);
 	if (a == NULL) {
-		coord_note_replaced(c, now, h->name, h->incarnation);
+		coord_record_restarted_agent(c, now, h->name, h->incarnation);
 		a = xcalloc(1, sizeof(*a));
 		a->name = xstrdup(h->name);
 		g_hash_table_insert(c->agents, a->name, a);
@@ -193,9 +193,9 @@
 	a->inventory = true;
 	if (a->reported)
 		enter_worker(c, now, a);
-	settle_found(c, a, inv);
-	run_member_gone(c, now, a, true);
-	settle_sweep(c, now);
+	settle_handle_inventory(c, a, inv);
+	run_close_members(c, now, a, true);
+	settle_advance(c, now);
 }
 
 /* A sign of life. */
@@ -233,7 +233,7 @@
 		run_reserved(c, now, a, &m->reserved);
 		break;
 	case MSG_ENDED:
-		run_ended(c, now, a, &m->ended);
+		run_handle_ended(c, now, a, &m->ended);
 		break;
 	default:
 		break;
@@ -251,7 +251,7 @@
 }
 
 /* Suspect the silent, and declare dead those that stay silent. */
-void agent_sweep(struct coord *c, int64_t now)
+void agent_check_timeouts(struct coord *c, int64_t now)
 {
 	GHashTableIter it;
 	gpointer value;
@@ -261,14 +261,14 @@
 		struct coord_agent *a = value;
 		int64_t silent = now - a->last_seen;
 
-		if (a->dead || silent < COORD_SUSPECT)
+		if (a->dead || silent < COORD_SUSPECT_TIMEOUT_NS)
 			continue;
 		a->suspected = true;
-		if (a->has_worker && silent < COORD_DEAD_AFTER) {
+		if (a->has_worker && silent < COORD_DEAD_TIMEOUT_NS) {
 			sched_worker_drain(c->sched, a->worker, true);
 			continue;
 		}
-		if (silent < COORD_DEAD_AFTER)
+		if (silent < COORD_DEAD_TIMEOUT_NS)
 			continue;
 		log_warning("coord", "Agent %s is dead.", a->name);
 		counter_add(&agents_lost, 1);
--- a/packages/coordination/coord-job.c
+++ b/packages/coordination/coord-job.c
@@ -21,7 +21,7 @@
 	bytes_clear(&j->checkpoint);
 	g_array_unref(j->waiters);
 	g_array_unref(j->acks);
-	free(j->explained);
+	free(j->explanation);
 	free(j->placed);
 	free(j);
 }
@@ -60,7 +60,7 @@
 {
 	struct sched_job *s;
 
-	j->in_core = true;
+	j->in_sched = true;
 	j->ref = sched_submit(c->sched, now, &j->spec, j);
 	s = sched_job(c->sched, j->ref);
 	if (j->record_attempt == 0)
@@ -74,7 +74,7 @@
  * reported only once its record says so: the next coordinator would run a job whose record is
  * still open.
  */
-bool job_is_told(const struct coord_job *j)
+bool job_result_sendable(const struct coord_job *j)
 {
 	return j->ended && !(j->spec.durable && j->result.not_run && j->dirty);
 }
@@ -92,7 +92,7 @@
 /* Send the result of a job to all entries that wait for it, if it may be sent. */
 static void answer_waiters(struct coord *c, struct coord_job *j)
 {
-	if (!job_is_told(j))
+	if (!job_result_sendable(j))
 		return;
 	for (guint i = 0; i < j->waiters->len; i++)
 		job_answer(c, j, g_array_index(j->waiters, peer_id, i));
@@ -134,7 +134,7 @@
 			"one");
 		return;
 	}
-	if (job_is_told(j)) {
+	if (job_result_sendable(j)) {
 		job_answer(c, j, peer);
 		return;
 	}
@@ -161,7 +161,7 @@
  * have never been sent to an agent to the entries that wait for them. Returns the number of
  * answers sent.
  */
-size_t coord_return_waiting(struct coord *c)
+size_t coord_return_queued(struct coord *c)
 {
 	GHashTableIter it;
 	gpointer value;
@@ -172,7 +172,7 @@
 	g_hash_table_iter_init(&it, c->jobs);
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
 		struct coord_job *j = value;
-		const struct sched_job *s = j->in_core ? sched_job(c->sched, j->ref) : NULL;
+		const struct sched_job *s = j->in_sched ? sched_job(c->sched, j->ref) : NULL;
 
 		if (s == NULL || s->ran || j->spec.durable ||
 			(s->state != SCHED_JOB_QUEUED && s->state != SCHED_JOB_CLAIMING))
@@ -248,7 +248,7 @@
 			c, peer, m->request, true, ERR_NOT_FOUND, "the job is not known");
 		return;
 	}
-	if (j->in_core && !j->ended) {
+	if (j->in_sched && !j->ended) {
 		coord_audit(c, now, "job.cancel", j->spec.org, j->spec.id, "");
 		sched_cancel(c->sched, now, j->ref);
 		run_actions(c, now);
--- a/packages/coordination/coord-private.h
+++ b/packages/coordination/coord-private.h
@@ -10,11 +10,11 @@
 
 #define COORD_BEAT_MS			 1000
 #define COORD_LEASE_MS			 5000
-#define COORD_DEAD_AFTER		 (10 * NSEC_PER_SEC)
-#define COORD_SUSPECT			 (3 * NSEC_PER_SEC)
+#define COORD_DEAD_TIMEOUT_NS		 (10 * NSEC_PER_SEC)
+#define COORD_SUSPECT_TIMEOUT_NS	 (3 * NSEC_PER_SEC)
 #define COORD_SETTLE_TIMEOUT_NS		 (5 * NSEC_PER_SEC / 2)
 #define COORD_UNKNOWN_OUTCOME_TIMEOUT_NS (10 * NSEC_PER_SEC)
-#define COORD_RESERVE_TIME		 (5 * NSEC_PER_SEC)
+#define COORD_RESERVE_TIMEOUT_NS	 (5 * NSEC_PER_SEC)
 #define COORD_ENDED_JOBS_MAX		 20000
 #define COORD_ENDED_JOB_TTL_NS		 (900 * NSEC_PER_SEC)
 #define COORD_DURABLE_JOB_TTL_NS	 (3600 * NSEC_PER_SEC)
@@ -50,9 +50,9 @@
 struct coord_member {
 	struct coord_agent *agent;
 	uint64_t incarnation;
-	bool sent;     /* the reservation was sent */
-	bool reserved; /* the agent confirmed the reservation */
-	bool told;     /* may have been told to start */
+	bool sent;	 /* the reservation was sent */
+	bool reserved;	 /* the agent confirmed the reservation */
+	bool start_sent; /* may have been told to start */
 	bool ended;
 };
 
@@ -60,7 +60,7 @@
 struct coord_job {
 	struct job_spec spec;
 	job_ref ref;
-	bool in_core;	       /* known to the scheduler */
+	bool in_sched;	       /* known to the scheduler */
 	bool accepting;	       /* not accepted until its record is written */
 	bool may_have_started; /* an earlier term may have started it */
 	bool dispatched;
@@ -69,13 +69,13 @@
 	uint32_t attempt;
 	uint32_t size;
 	struct coord_member members[SCHED_MEMBERS_MAX];
-	int64_t reserve_by;
+	int64_t reserve_deadline;
 	bool write_before_start; /* dispatched only once its record is written */
 	GArray *waiters;	 /* peer_id of entries that wait for the result */
 	GArray *acks;		 /* struct coord_ack, sent once the record is written */
 	struct job_result result;
 	struct bytes checkpoint;
-	char *explained;
+	char *explanation;
 	int64_t ended_at;
 	int64_t ended_wall;
 	int64_t submitted_at;
@@ -138,8 +138,9 @@
 };
 
 /* coord.c */
-void coord_note_replaced(struct coord *c, int64_t now, const char *name, uint64_t incarnation);
-void coord_note_gone(struct coord *c, int64_t now, const struct coord_agent *a);
+void coord_record_restarted_agent(
+	struct coord *c, int64_t now, const char *name, uint64_t incarnation);
+void coord_record_dead_agent(struct coord *c, int64_t now, const struct coord_agent *a);
 int64_t coord_wall(const struct coord *c, int64_t now);
 void coord_audit(struct coord *c, int64_t now, const char *what, const char *who,
 	const char *job, const char *detail);
@@ -147,14 +148,14 @@
 bool coord_send(struct coord *c, peer_id peer, const struct msg *m);
 
 /* coord-agent.c */
-void agent_record_free(void *p);
+void coord_agent_free(void *p);
 struct coord_agent *agent_by_peer(struct coord *c, peer_id peer);
 struct coord_agent *agent_by_worker(struct coord *c, uint32_t worker);
 void agent_hello(struct coord *c, int64_t now, peer_id peer, const struct msg_hello *h);
 void agent_message(struct coord *c, int64_t now, struct coord_agent *a, const struct msg *m);
 void agent_lost(struct coord *c, int64_t now, struct coord_agent *a);
-void agent_sweep(struct coord *c, int64_t now);
-bool agent_same(struct coord *c, const char *name, uint64_t incarnation);
+void agent_check_timeouts(struct coord *c, int64_t now);
+bool agent_is_same_incarnation(struct coord *c, const char *name, uint64_t incarnation);
 
 /* coord-job.c */
 void coord_job_free(void *p);
@@ -163,7 +164,7 @@
 void job_submit_to_sched(struct coord *c, int64_t now, struct coord_job *j);
 void job_submit(struct coord *c, int64_t now, peer_id peer, const struct msg_submit *m);
 void job_cancel(struct coord *c, int64_t now, peer_id peer, const struct msg_cancel *m);
-bool job_is_told(const struct coord_job *j);
+bool job_result_sendable(const struct coord_job *j);
 void job_answer(struct coord *c, struct coord_job *j, peer_id peer);
 void job_mark_dirty(struct coord_job *j);
 void job_end(struct coord *c, int64_t now, struct coord_job *j, const struct job_result *r);
@@ -174,20 +175,22 @@
 void run_dispatch(struct coord *c, int64_t now, struct coord_job *j);
 void run_reserved(
 	struct coord *c, int64_t now, struct coord_agent *a, const struct msg_reserved *m);
-void run_take_end(
+void run_record_end(
 	struct coord *c, int64_t now, struct coord_agent *a, const struct msg_ended *m);
-void run_ended(struct coord *c, int64_t now, struct coord_agent *a, const struct msg_ended *m);
-void run_member_gone(struct coord *c, int64_t now, struct coord_agent *a, bool may_report);
-void run_sweep(struct coord *c, int64_t now);
+void run_handle_ended(
+	struct coord *c, int64_t now, struct coord_agent *a, const struct msg_ended *m);
+void run_close_members(struct coord *c, int64_t now, struct coord_agent *a, bool may_report);
+void run_check_timeouts(struct coord *c, int64_t now);
 void run_send_stop(
 	struct coord *c, peer_id peer, const char *job, uint32_t attempt, enum stop_mode mode);
 
 /* coord-settle.c */
 void reported_member_free(void *p);
-void settle_forget(struct coord *c, const struct coord_agent *a);
-bool settle_ended(struct coord *c, const struct coord_agent *a, const struct msg_ended *m);
-void settle_found(struct coord *c, struct coord_agent *a, const struct msg_inventory *inv);
-void settle_sweep(struct coord *c, int64_t now);
+void settle_drop_inventory(struct coord *c, const struct coord_agent *a);
+bool settle_record_end(struct coord *c, const struct coord_agent *a, const struct msg_ended *m);
+void settle_handle_inventory(
+	struct coord *c, struct coord_agent *a, const struct msg_inventory *inv);
+void settle_advance(struct coord *c, int64_t now);
 void settle_load_records(struct coord *c, int64_t now, GPtrArray *records);
 bool settle_all_agents_present(struct coord *c, const struct job_spec *spec);
 
--- a/packages/coordination/coord-query.c
+++ b/packages/coordination/coord-query.c
@@ -9,7 +9,7 @@
 /* The state of a job that has not ended. */
 static const char *live_state(struct coord *c, const struct coord_job *j)
 {
-	const struct sched_job *s = j->in_core ? sched_job(c->sched, j->ref) : NULL;
+	const struct sched_job *s = j->in_sched ? sched_job(c->sched, j->ref) : NULL;
 	static const char *const names[] = {
 		"queued", "claiming", "placing", "running", "stopping", "ended"};
 
@@ -29,7 +29,7 @@
 		"organisation", j->spec.org, "class",
 		j->spec.class_name ? j->spec.class_name : "", "kind",
 		j->spec.kind ? j->spec.kind : "", "state",
-		job_is_told(j) ? "ended" : live_state(c, j), "accelerators",
+		job_result_sendable(j) ? "ended" : live_state(c, j), "accelerators",
 		(int)j->spec.accelerators, "within", adjacency_name(j->spec.adjacency),
 		"idempotent", j->spec.idempotent, "attempt", (int)j->attempt, "submitted",
 		when);
@@ -37,7 +37,7 @@
 	(void)now;
 	if (j->placed != NULL && *j->placed != '\0' && !j->ended)
 		json_object_set_new(o, "placed", json_string(j->placed));
-	if (!job_is_told(j))
+	if (!job_result_sendable(j))
 		return o;
 	json_object_set_new(o, "outcome", json_string(outcome_name(r->outcome)));
 	json_object_set_new(o, "not_run", json_boolean(r->not_run));
@@ -79,7 +79,7 @@
 {
 	json_t *out = json_array();
 
-	for (uint32_t i = 0; i < sched_orgs(c->sched); i++) {
+	for (uint32_t i = 0; i < sched_org_count(c->sched); i++) {
 		struct sched_org_view v;
 
 		sched_org_view(c->sched, i, &v);
@@ -100,7 +100,7 @@
 {
 	if (!v->up)
 		return "down";
-	if (a == NULL || a->peer == PEER_NONE || now - a->last_seen > COORD_SUSPECT)
+	if (a == NULL || a->peer == PEER_NONE || now - a->last_seen > COORD_SUSPECT_TIMEOUT_NS)
 		return "suspect";
 	if (v->quarantined)
 		return "quarantined";
@@ -112,7 +112,7 @@
 {
 	json_t *out = json_array();
 
-	for (uint32_t i = 0; i < sched_workers(c->sched); i++) {
+	for (uint32_t i = 0; i < sched_worker_count(c->sched); i++) {
 		const struct coord_agent *a = agent_by_worker(c, i);
 		struct sched_worker_view v;
 
@@ -142,10 +142,10 @@
 		c->store_up, "config", (json_int_t)c->config_number, "workers", (int)v.workers,
 		"accelerators", (int)v.accelerators, "free", (int)v.free, "largest_in_worker",
 		(int)v.largest_worker, "largest_in_rack", (int)v.largest_rack, "queued",
-		(json_int_t)sched_queued(c->sched), "placed",
-		(json_int_t)sched_running(c->sched), "fragmentation", v.fragmentation, "claims",
-		(json_int_t)n->claims, "preempted", (json_int_t)n->preempted, "oldest_ms",
-		(json_int_t)(v.oldest / NSEC_PER_MSEC));
+		(json_int_t)sched_queued_count(c->sched), "placed",
+		(json_int_t)sched_running_count(c->sched), "fragmentation", v.fragmentation,
+		"claims", (json_int_t)n->claims, "preempted", (json_int_t)n->preempted,
+		"oldest_ms", (json_int_t)(v.oldest / NSEC_PER_MSEC));
 }
 
 /* The trail of job changes. */
@@ -162,8 +162,8 @@
 static json_t *explain_json(struct coord *c, int64_t now, const struct coord_job *j)
 {
 	json_t *job = job_json(c, now, j);
-	json_t *why = j->in_core ? sched_explain(c->sched, now, j->ref)
-				 : json_loads(j->explained ? j->explained : "{}", 0, NULL);
+	json_t *why = j->in_sched ? sched_explain(c->sched, now, j->ref)
+				  : json_loads(j->explanation ? j->explanation : "{}", 0, NULL);
 
 	json_object_set_new(job, "why", why);
 	return job;
@@ -218,7 +218,7 @@
 	struct coord_job *j = strcmp(q->what, "result") == 0 ? job_find(c, q->arg) : NULL;
 	struct msg m = {.kind = MSG_ANSWER};
 
-	if (j == NULL || !job_is_told(j) || !may_see(q, j))
+	if (j == NULL || !job_result_sendable(j) || !may_see(q, j))
 		return false;
 	m.answer = (struct msg_answer){.job = j->spec.id, .term = c->term, .result = j->result};
 	m.answer.request = q->request;
--- a/packages/coordination/coord-run.c
+++ b/packages/coordination/coord-run.c
@@ -47,7 +47,7 @@
 		.checkpoint = j->checkpoint};
 	/* Before its inventory an agent gets nothing, or the inventory would prove nothing. */
 	m->sent = m->agent->inventory && coord_send(c, m->agent->peer, &out);
-	m->told = m->sent && j->size == 1;
+	m->start_sent = m->sent && j->size == 1;
 }
 
 /* Take back an attempt of which no member was told to start. */
@@ -82,7 +82,7 @@
 	}
 	roster = gang_roster(j);
 	j->dispatched = true;
-	j->reserve_by = now + COORD_RESERVE_TIME;
+	j->reserve_deadline = now + COORD_RESERVE_TIMEOUT_NS;
 	for (uint32_t i = 0; all && i < j->size; i++) {
 		send_reserve(c, j, i, s->members[i].accelerators, roster);
 		all = j->members[i].sent;
@@ -120,7 +120,7 @@
 	if (j->spec.durable && !j->spec.idempotent) {
 		job_mark_dirty(j);
 		j->write_before_start = true;
-		j->reserve_by = now + COORD_RESERVE_TIME;
+		j->reserve_deadline = now + COORD_RESERVE_TIMEOUT_NS;
 		return;
 	}
 	run_dispatch(c, now, j);
@@ -155,8 +155,8 @@
 {
 	json_t *why = sched_explain(c->sched, now, j->ref);
 
-	free(j->explained);
-	j->explained = json_dumps(why, JSON_COMPACT);
+	free(j->explanation);
+	j->explanation = json_dumps(why, JSON_COMPACT);
 	json_decref(why);
 	j->result.outcome = a->end.outcome;
 	j->result.error = a->end.error;
@@ -166,8 +166,8 @@
 		free(j->result.detail);
 		j->result.detail = xstrdup(a->end.detail);
 	}
-	sched_forget(c->sched, j->ref);
-	j->in_core = false;
+	sched_remove_job(c->sched, j->ref);
+	j->in_sched = false;
 	j->ref = JOB_REF_NONE;
 	job_end(c, now, j, &j->result);
 }
@@ -187,15 +187,15 @@
 		}
 		j->ref = a.job;
 		switch (a.kind) {
-		case SCHED_PLACE:
+		case SCHED_ACTION_PLACE:
 			if (s->attempt == a.attempt && s->state == SCHED_JOB_PLACING)
 				on_place(c, now, j, a.attempt);
 			break;
-		case SCHED_STOP:
+		case SCHED_ACTION_STOP:
 			if (s->attempt == a.attempt)
 				on_stop(c, now, j, &a);
 			break;
-		case SCHED_END:
+		case SCHED_ACTION_END:
 			on_end(c, now, j, &a);
 			break;
 		}
@@ -210,7 +210,7 @@
 		struct msg m = {.kind = MSG_START,
 			.start = {.term = c->term, .job = j->spec.id, .attempt = j->attempt}};
 
-		j->members[i].told = true;
+		j->members[i].start_sent = true;
 		coord_send(c, j->members[i].agent->peer, &m);
 	}
 	j->started = true;
@@ -225,7 +225,7 @@
 	bool all = true;
 
 	if (j == NULL || j->ended || m->attempt != j->attempt || m->member >= j->size ||
-		j->members[m->member].agent != a || !j->dispatched || !j->in_core) {
+		j->members[m->member].agent != a || !j->dispatched || !j->in_sched) {
 		if (m->ok)
 			run_send_stop(c, a->peer, m->job, m->attempt, STOP_RELEASE);
 		return;
@@ -236,7 +236,7 @@
 		log_info("coord", "Agent %s refused: %s. job=%s attempt=%u", a->name,
 			m->reason != NULL ? m->reason : "no reason", m->job, m->attempt);
 		j->members[m->member].sent = false;
-		j->members[m->member].told = false;
+		j->members[m->member].start_sent = false;
 		abort_attempt(c, now, j);
 		return;
 	}
@@ -283,7 +283,7 @@
 }
 
 /* Enter the end of a member and acknowledge it. */
-void run_take_end(
+void run_record_end(
 	struct coord *c, int64_t now, struct coord_agent *a, const struct msg_ended *m)
 {
 	struct coord_job *j = job_find(c, m->job);
@@ -309,10 +309,11 @@
 }
 
 /* A member has ended, as its agent says; one that is still to be settled waits for that. */
-void run_ended(struct coord *c, int64_t now, struct coord_agent *a, const struct msg_ended *m)
+void run_handle_ended(
+	struct coord *c, int64_t now, struct coord_agent *a, const struct msg_ended *m)
 {
-	if (m->job != NULL && !settle_ended(c, a, m))
-		run_take_end(c, now, a, m);
+	if (m->job != NULL && !settle_record_end(c, a, m))
+		run_record_end(c, now, a, m);
 }
 
 /*
@@ -320,7 +321,7 @@
  * its inventory, which has been taken in, is the proof for what it does not list. Otherwise
  * the agent is dead or restarted, and a member that was told to start is lost.
  */
-void run_member_gone(struct coord *c, int64_t now, struct coord_agent *a, bool may_report)
+void run_close_members(struct coord *c, int64_t now, struct coord_agent *a, bool may_report)
 {
 	g_autoptr(GPtrArray) jobs = g_ptr_array_new();
 	GHashTableIter it;
@@ -330,7 +331,7 @@
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
 		struct coord_job *j = value;
 
-		if (!j->ended && j->in_core && j->size > 0)
+		if (!j->ended && j->in_sched && j->size > 0)
 			g_ptr_array_add(jobs, j);
 	}
 	for (guint k = 0; k < jobs->len; k++) {
@@ -345,8 +346,8 @@
 				continue;
 			m->ended = true;
 			sched_member_ended(c->sched, now, j->ref, j->attempt, i,
-				m->told && !may_report ? MEMBER_END_LOST
-						       : MEMBER_END_NEVER_STARTED,
+				m->start_sent && !may_report ? MEMBER_END_LOST
+							     : MEMBER_END_NEVER_STARTED,
 				0);
 		}
 	}
@@ -354,7 +355,7 @@
 }
 
 /* Take back attempts whose reservations were not answered in time. */
-void run_sweep(struct coord *c, int64_t now)
+void run_check_timeouts(struct coord *c, int64_t now)
 {
 	g_autoptr(GPtrArray) late = g_ptr_array_new();
 	GHashTableIter it;
@@ -365,7 +366,7 @@
 		struct coord_job *j = value;
 		bool gang_late = j->dispatched && !j->started && j->size > 1;
 
-		if (!j->ended && j->in_core && now > j->reserve_by &&
+		if (!j->ended && j->in_sched && now > j->reserve_deadline &&
 			(gang_late || j->write_before_start))
 			g_ptr_array_add(late, j);
 	}
--- a/packages/coordination/coord-settle.c
+++ b/packages/coordination/coord-settle.c
@@ -35,7 +35,7 @@
 
 	g_hash_table_iter_init(&it, c->previous_roster);
 	while (g_hash_table_iter_next(&it, &key, &value)) {
-		if (!agent_same(c, key, *(uint64_t *)value))
+		if (!agent_is_same_incarnation(c, key, *(uint64_t *)value))
 			return false;
 	}
 	return !agent_died_since(c, spec);
@@ -55,7 +55,7 @@
 		if (slash == NULL)
 			return false;
 		*slash = '\0';
-		if (!agent_same(c, parts[i], strtoull(slash + 1, NULL, 16)))
+		if (!agent_is_same_incarnation(c, parts[i], strtoull(slash + 1, NULL, 16)))
 			return false;
 	}
 	return parts[0] != NULL;
@@ -72,7 +72,7 @@
 		.end = r->end,
 		.result = r->result};
 
-	run_take_end(c, now, a, &m);
+	run_record_end(c, now, a, &m);
 }
 
 /* Match a listed member to its job, and stop it if it is not of the current attempt. */
@@ -86,7 +86,7 @@
 		replay_member_end(c, now, a, r);
 		return;
 	}
-	if (!j->in_core || j->attempt != r->attempt) {
+	if (!j->in_sched || j->attempt != r->attempt) {
 		run_send_stop(c, a->peer, r->spec.id, r->attempt, STOP_NOW);
 		return;
 	}
@@ -113,7 +113,7 @@
 }
 
 /* Drop the listed members of an agent that died, restarted or sends a new inventory. */
-void settle_forget(struct coord *c, const struct coord_agent *a)
+void settle_drop_inventory(struct coord *c, const struct coord_agent *a)
 {
 	for (guint i = c->reported_members->len; i-- > 0;) {
 		if (((struct reported_member *)c->reported_members->pdata[i])->agent == a)
@@ -125,7 +125,7 @@
  * Record the end of a listed member whose job has not been settled yet; settling the job
  * acknowledges it. False if no such member was listed.
  */
-bool settle_ended(struct coord *c, const struct coord_agent *a, const struct msg_ended *m)
+bool settle_record_end(struct coord *c, const struct coord_agent *a, const struct msg_ended *m)
 {
 	for (guint i = 0; i < c->reported_members->len; i++) {
 		struct reported_member *rm = c->reported_members->pdata[i];
@@ -143,16 +143,17 @@
 }
 
 /* Handle an agent's inventory. */
-void settle_found(struct coord *c, struct coord_agent *a, const struct msg_inventory *inv)
+void settle_handle_inventory(
+	struct coord *c, struct coord_agent *a, const struct msg_inventory *inv)
 {
-	settle_forget(c, a);
+	settle_drop_inventory(c, a);
 	for (uint32_t i = 0; i < inv->members_len; i++) {
 		struct member_record *r = &inv->members[i];
 		struct coord_job *j = job_find(c, r->spec.id);
 
 		if (r->spec.id == NULL || r->spec.org == NULL)
 			continue;
-		if (j != NULL && (j->in_core || j->ended))
+		if (j != NULL && (j->in_sched || j->ended))
 			reconcile_member(c, c->wall_sampled_at, a, j, r);
 		else
 			keep_reported_member(c, a, r);
@@ -258,14 +259,14 @@
 			.incarnation = rm->agent->incarnation,
 			.sent = true,
 			.reserved = true,
-			.told = true};
+			.start_sent = true};
 	}
 	j->size = len;
 	j->attempt = first->record.attempt;
 	j->record_attempt = j->attempt;
 	j->dispatched = true;
 	j->started = true;
-	j->in_core = true;
+	j->in_sched = true;
 	j->may_have_started = false;
 	j->ref = sched_adopt(c->sched, now, &j->spec, j, j->attempt, members, len, running);
 	sched_job(c->sched, j->ref)->attempt_floor = coord_attempt_floor(c);
@@ -292,7 +293,7 @@
 {
 	const struct coord_job *j = job_find(c, spec->id);
 
-	return spec->durable || (j != NULL && (j->in_core || j->ended || j->waiters->len > 0));
+	return spec->durable || (j != NULL && (j->in_sched || j->ended || j->waiters->len > 0));
 }
 
 /* Whether all members of a group have ended. */
@@ -340,7 +341,7 @@
 	if (j == NULL)
 		j = job_add(c, now, &first->record.spec);
 	j->record_attempt = MAX(j->record_attempt, first->record.attempt);
-	if (j->in_core || j->ended) {
+	if (j->in_sched || j->ended) {
 		for (guint i = 0; i < group->len; i++) {
 			struct reported_member *rm = group->pdata[i];
 
@@ -457,7 +458,7 @@
  * Finish settling once all agents of the previous roster have sent their inventory, or after
  * COORD_SETTLE_TIMEOUT_NS. After that, settle what was listed later.
  */
-void settle_sweep(struct coord *c, int64_t now)
+void settle_advance(struct coord *c, int64_t now)
 {
 	if (c->term == 0)
 		return;
--- a/packages/coordination/coord.c
+++ b/packages/coordination/coord.c
@@ -26,7 +26,7 @@
 	c->cell = xstrdup(cell);
 	c->ports = *ports;
 	c->sched = sched_new(SCHED_POLICY_FULL, random_u64());
-	c->agents = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, agent_record_free);
+	c->agents = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, coord_agent_free);
 	c->jobs = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, coord_job_free);
 	c->entries = g_hash_table_new_full(g_int64_hash, g_int64_equal, free, NULL);
 	c->previous_roster = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free);
@@ -79,7 +79,8 @@
  * Handle the first hello of an agent in this term. If it has restarted since the previous term,
  * its old incarnation is recorded as dead.
  */
-void coord_note_replaced(struct coord *c, int64_t now, const char *name, uint64_t incarnation)
+void coord_record_restarted_agent(
+	struct coord *c, int64_t now, const char *name, uint64_t incarnation)
 {
 	const uint64_t *old = g_hash_table_lookup(c->previous_roster, name);
 
@@ -94,7 +95,7 @@
 	gpointer key;
 	gpointer value;
 
-	if (now - c->term_started_at < COORD_DEAD_AFTER)
+	if (now - c->term_started_at < COORD_DEAD_TIMEOUT_NS)
 		return;
 	g_hash_table_iter_init(&it, c->previous_roster);
 	while (g_hash_table_iter_next(&it, &key, &value)) {
@@ -107,7 +108,7 @@
 }
 
 /* Record that an agent died or restarted, so that what it ran is unknown from now on. */
-void coord_note_gone(struct coord *c, int64_t now, const struct coord_agent *a)
+void coord_record_dead_agent(struct coord *c, int64_t now, const struct coord_agent *a)
 {
 	add_dead_incarnation(c, a->name, a->incarnation, coord_wall(c, now) / NSEC_PER_MSEC);
 }
@@ -140,8 +141,8 @@
 }
 
 /* Start a term that this process has won, and begin to settle. */
-void coord_begin(struct coord *c, int64_t now, int64_t wall, uint64_t term, const char *roster,
-	GPtrArray *records, const struct doc *doc)
+void coord_start_term(struct coord *c, int64_t now, int64_t wall, uint64_t term,
+	const char *roster, GPtrArray *records, const struct doc *doc)
 {
 	c->term = term;
 	c->term_started_at = now;
@@ -299,7 +300,7 @@
 }
 
 /* Handle a closed connection. */
-void coord_closed(struct coord *c, int64_t now, peer_id peer)
+void coord_peer_closed(struct coord *c, int64_t now, peer_id peer)
 {
 	struct coord_agent *a = agent_by_peer(c, peer);
 
@@ -325,16 +326,16 @@
 		.free_accelerators = v.free,
 		.largest_worker = v.largest_worker,
 		.largest_rack = v.largest_rack,
-		.queued = (uint32_t)sched_queued(c->sched),
-		.running = (uint32_t)sched_running(c->sched),
+		.queued = (uint32_t)sched_queued_count(c->sched),
+		.running = (uint32_t)sched_running_count(c->sched),
 		.oldest_ms = (uint32_t)(v.oldest / NSEC_PER_MSEC),
 		.config_revision = c->config_number,
 	};
 	g_hash_table_iter_init(&it, c->entries);
 	while (g_hash_table_iter_next(&it, &key, NULL))
 		coord_send(c, *(peer_id *)key, &m);
-	counter_set(&queued_gauge, sched_queued(c->sched));
-	counter_set(&running_gauge, sched_running(c->sched));
+	counter_set(&queued_gauge, sched_queued_count(c->sched));
+	counter_set(&running_gauge, sched_running_count(c->sched));
 	c->last_summary = now;
 }
 
@@ -362,9 +363,9 @@
 {
 	c->wall = wall;
 	c->wall_sampled_at = now;
-	settle_sweep(c, now);
-	agent_sweep(c, now);
-	run_sweep(c, now);
+	settle_advance(c, now);
+	agent_check_timeouts(c, now);
+	run_check_timeouts(c, now);
 	job_expire(c, now);
 	declare_missing_agents_dead(c, now);
 	expire_dead_incarnations(c);
@@ -446,7 +447,7 @@
 }
 
 /* Record whether the store can be reached; durable jobs are refused while it cannot. */
-void coord_store_state(struct coord *c, int64_t now, bool up)
+void coord_set_store_up(struct coord *c, int64_t now, bool up)
 {
 	(void)now;
 	c->store_up = up;
--- a/packages/coordination/coord.h
+++ b/packages/coordination/coord.h
@@ -21,16 +21,16 @@
 struct coord;
 struct coord *coord_new(const char *cell, const struct coord_ports *ports);
 void coord_free(struct coord *c);
-void coord_begin(struct coord *c, int64_t now, int64_t wall, uint64_t term, const char *roster,
-	GPtrArray *records, const struct doc *doc);
+void coord_start_term(struct coord *c, int64_t now, int64_t wall, uint64_t term,
+	const char *roster, GPtrArray *records, const struct doc *doc);
 uint64_t coord_term(const struct coord *c);
 void coord_set_doc(struct coord *c, int64_t now, const struct doc *doc);
 void coord_hello(struct coord *c, int64_t now, peer_id peer, const struct msg_hello *h);
 void coord_message(struct coord *c, int64_t now, peer_id peer, const struct msg *m);
-void coord_closed(struct coord *c, int64_t now, peer_id peer);
+void coord_peer_closed(struct coord *c, int64_t now, peer_id peer);
 void coord_tick(struct coord *c, int64_t now, int64_t wall);
 void coord_schedule(struct coord *c, int64_t now);
-size_t coord_return_waiting(struct coord *c);
+size_t coord_return_queued(struct coord *c);
 bool coord_has_successor(struct coord *c, const char *self);
 size_t coord_open_jobs(const struct coord *c);
 
@@ -52,7 +52,7 @@
 char *coord_roster(const struct coord *c);
 bool coord_roster_changed(const struct coord *c);
 void coord_roster_saved(struct coord *c, const char *roster);
-void coord_store_state(struct coord *c, int64_t now, bool up);
+void coord_set_store_up(struct coord *c, int64_t now, bool up);
 
 /* For tests and counters. */
 struct sched *coord_sched(struct coord *c);
--- a/packages/coordination/sched-check.c
+++ b/packages/coordination/sched-check.c
@@ -6,7 +6,7 @@
 struct sums {
 	struct sched_res used;
 	struct sched_res pending;
-	struct sched_res firm;
+	struct sched_res committed;
 	uint32_t jobs;
 };
 
@@ -25,7 +25,7 @@
 			at->jobs++;
 			res_add(j->state == SCHED_JOB_CLAIMING ? &at->pending : &at->used,
 				&mb->need);
-			res_add(&at->firm, &mb->firm);
+			res_add(&at->committed, &mb->committed);
 		}
 	}
 	return sums;
@@ -36,23 +36,24 @@
 {
 	const struct sched_worker *w = sched_worker_at(s, at);
 	struct sched_res share = res_share(&w->capacity, w->held);
-	struct sched_res firm = w->firm;
+	struct sched_res committed = w->committed;
 	uint32_t held = 0;
 	char *out = NULL;
 
 	for (uint32_t o = 0; o < s->orgs->len; o++) {
-		held += org_left(s, o, at);
+		held += org_unused(s, o, at);
 	}
 	if (!res_equal(&sum->used, &w->used) || !res_equal(&sum->pending, &w->pending) ||
-		!res_equal(&sum->firm, &w->firm) || sum->jobs != w->jobs || held != w->held)
+		!res_equal(&sum->committed, &w->committed) || sum->jobs != w->jobs ||
+		held != w->held)
 		xasprintf(&out, "worker %s: the books do not agree with the jobs", w->name);
 	else if (w->up && !res_fits(&w->used, &w->capacity))
 		xasprintf(&out, "worker %s: more is used than there is", w->name);
-	res_add(&firm, &share);
-	if (out == NULL && w->up && !res_fits(&firm, &w->capacity))
+	res_add(&committed, &share);
+	if (out == NULL && w->up && !res_fits(&committed, &w->capacity))
 		xasprintf(&out,
 			"worker %s: unused guarantees cannot be met (firm %d, held %u of %d)",
-			w->name, w->firm.accelerators, w->held, w->capacity.accelerators);
+			w->name, w->committed.accelerators, w->held, w->capacity.accelerators);
 	return out;
 }
 
--- a/packages/coordination/sched-claim.c
+++ b/packages/coordination/sched-claim.c
@@ -171,7 +171,7 @@
 	if (!at->up || at->draining || (rack >= 0 && at->rack != (uint32_t)rack) ||
 		!health_allows(at, j, now))
 		return 0;
-	return fit_room(s, j, w, c->mode, c->hold);
+	return fit_count(s, j, w, c->mode, c->hold);
 }
 
 /* Try to place a claim over the workers of a rack: most room first, the last part tightly. */
@@ -248,12 +248,12 @@
 static void start_at(struct sched *s, int64_t now, struct sched_job *j, const struct fit *f,
 	bool charged, struct sched_hold *hold)
 {
-	j->decision =
-		(struct sched_decision){.why = charged ? SCHED_WHY_GUARANTEE : SCHED_WHY_FREE,
-			.at = now,
-			.considered = f->considered};
-	sched_take(s, j, f, charged, hold, false);
-	sched_begin(s, now, j);
+	j->decision = (struct sched_decision){
+		.why = charged ? SCHED_REASON_GUARANTEE : SCHED_REASON_FREE,
+		.at = now,
+		.considered = f->considered};
+	sched_assign(s, j, f, charged, hold, false);
+	sched_begin_attempt(s, now, j);
 }
 
 /* Start a job inside a hold where all is free, moving the hold there if nobody uses it. */
@@ -274,7 +274,7 @@
 {
 	struct fit f;
 
-	if (!fit_job(s, now, j, job_stoppable(j) ? FIT_BORROWED : FIT_FIRM, NULL, &f))
+	if (!fit_job(s, now, j, job_stoppable(j) ? FIT_BORROWED : FIT_COMMITTED, NULL, &f))
 		return false;
 	start_at(s, now, j, &f, false, NULL);
 	return true;
@@ -284,12 +284,12 @@
 static void start_claim(
 	struct sched *s, int64_t now, struct sched_job *j, const struct claim *c)
 {
-	j->decision = (struct sched_decision){.why = SCHED_WHY_CLAIM,
+	j->decision = (struct sched_decision){.why = SCHED_REASON_CLAIM,
 		.at = now,
 		.victims = c->victims->len,
-		.expected = now + s->grace};
+		.expected_at = now + s->grace};
 	queue_remove(s, j);
-	sched_take(s, j, &c->fit, c->mode == FIT_CHARGED, c->hold, true);
+	sched_assign(s, j, &c->fit, c->mode == FIT_CHARGED, c->hold, true);
 	j->state = SCHED_JOB_CLAIMING;
 	j->claim_at = now;
 	s->counts.claims++;
@@ -297,7 +297,7 @@
 		struct sched_job *v = c->victims->pdata[i];
 
 		if (v->state != SCHED_JOB_STOPPING)
-			sched_order_stop(s, v, v->checkpoint ? STOP_CHECKPOINT : STOP_NOW,
+			sched_stop_job(s, v, v->checkpoint ? STOP_CHECKPOINT : STOP_NOW,
 				SCHED_STOP_PREEMPTED);
 	}
 }
@@ -308,8 +308,8 @@
 	const struct sched_hold *x = *(struct sched_hold *const *)a;
 	const struct sched_hold *y = *(struct sched_hold *const *)b;
 
-	if (hold_left(x) != hold_left(y))
-		return hold_left(x) < hold_left(y) ? -1 : 1;
+	if (hold_unused(x) != hold_unused(y))
+		return hold_unused(x) < hold_unused(y) ? -1 : 1;
 	return x->adjacency < y->adjacency ? -1 : x->adjacency > y->adjacency;
 }
 
@@ -321,7 +321,7 @@
 	for (guint i = 0; i < s->holds->len; i++) {
 		struct sched_hold *h = s->holds->pdata[i];
 
-		if (h->org == j->org && h->placed && hold_left(h) >= j->accelerators)
+		if (h->org == j->org && h->placed && hold_unused(h) >= j->accelerators)
 			g_ptr_array_add(list, h);
 	}
 	g_ptr_array_sort(list, compare_holds);
@@ -404,10 +404,11 @@
  * Start a gang that has waited for a slice in the place of borrowers that had theirs. Gangs
  * that outnumber the places so take turns instead of waiting for the longest to end.
  */
-bool claim_turn(struct sched *s, int64_t now, struct sched_job *j)
+bool claim_time_slice(struct sched *s, int64_t now, struct sched_job *j)
 {
 	struct claim best = {.victims = g_ptr_array_new()};
-	struct claim c = {.mode = job_stoppable(j) ? FIT_BORROWED_CLEARED : FIT_FIRM_CLEARED,
+	struct claim c = {.mode = job_stoppable(j) ? FIT_BORROWED_AFTER_PREEMPTION
+						   : FIT_COMMITTED_AFTER_PREEMPTION,
 		.victims = g_ptr_array_new()};
 	double worth = (double)j->estimate / (double)NSEC_PER_SEC * j->accelerators;
 	double loss_max = j->urgent ? URGENT_LOSS_MAX : LOSS_PART * worth;
@@ -451,6 +452,6 @@
 			res_sub(&w->pending, &j->members[m].need);
 			res_add(&w->used, &j->members[m].need);
 		}
-		sched_begin(s, now, j);
+		sched_begin_attempt(s, now, j);
 	}
 }
--- a/packages/coordination/sched-fit.c
+++ b/packages/coordination/sched-fit.c
@@ -64,7 +64,7 @@
 static uint32_t unused_on(const struct sched *s, const struct sched_job *j, uint32_t worker,
 	const struct sched_hold *hold)
 {
-	return hold != NULL ? hold_left_on(hold, worker) : org_left(s, j->org, worker);
+	return hold != NULL ? hold_unused_on(hold, worker) : org_unused(s, j->org, worker);
 }
 
 /*
@@ -72,7 +72,7 @@
  * the given hold, or to all holds of the job's organisation if it is NULL. The cleared modes
  * count the resources that borrowers use as free.
  */
-uint32_t fit_room(const struct sched *s, const struct sched_job *j, uint32_t worker,
+uint32_t fit_count(const struct sched *s, const struct sched_job *j, uint32_t worker,
 	enum fit_mode mode, const struct sched_hold *hold)
 {
 	const struct sched_worker *w = sched_worker_at(s, worker);
@@ -89,18 +89,18 @@
 	case FIT_CHARGED:
 		unused = MIN(unused_on(s, j, worker, hold), j->accelerators);
 		return unused == 0 ? 0 : chargeable_count(w, j, unused);
-	case FIT_FIRM:
-		uncommitted = worker_firm_room(w);
+	case FIT_COMMITTED:
+		uncommitted = worker_uncommitted(w);
 		available = res_min(&available, &uncommitted);
 		return res_fit_count(j, &available);
 	case FIT_BORROWED:
 		return res_fit_count(j, &available);
-	case FIT_FIRM_CLEARED:
-		uncommitted = worker_firm_room(w);
+	case FIT_COMMITTED_AFTER_PREEMPTION:
+		uncommitted = worker_uncommitted(w);
 		return res_fit_count(j, &uncommitted);
-	case FIT_BORROWED_CLEARED:
+	case FIT_BORROWED_AFTER_PREEMPTION:
 		available = w->capacity;
-		res_sub(&available, &w->firm);
+		res_sub(&available, &w->committed);
 		res_sub(&available, &w->pending);
 		return res_fit_count(j, &available);
 	}
@@ -206,7 +206,7 @@
 		if (mode != FIT_CHARGED && mode != FIT_CHARGED_FREE &&
 			delays_reservation(w, j, now))
 			continue;
-		f->capacity[i] = fit_room(s, j, i, mode, hold);
+		f->capacity[i] = fit_count(s, j, i, mode, hold);
 		f->rack_capacity[w->rack] += f->capacity[i];
 		total += f->capacity[i];
 		out->considered++;
--- a/packages/coordination/sched-health.c
+++ b/packages/coordination/sched-health.c
@@ -23,7 +23,7 @@
 }
 
 /* Whether a job failed on so many workers that the job is at fault. */
-bool health_job_is_bad(const struct sched_job *j)
+bool health_job_at_fault(const struct sched_job *j)
 {
 	return j->failed_on_len >= BAD_WORKERS;
 }
@@ -51,25 +51,25 @@
 	}
 	if (j->failed_on_len < ARRAY_LEN(j->failed_on))
 		j->failed_on[j->failed_on_len++] = worker;
-	if (health_job_is_bad(j)) {
+	if (health_job_at_fault(j)) {
 		struct sched_worker *first = sched_worker_at(s, j->failed_on[0]);
 
 		if (j->failed_on_len == BAD_WORKERS && !first->quarantined &&
-			first->bad_jobs > 0)
-			first->bad_jobs--;
+			first->failed_jobs > 0)
+			first->failed_jobs--;
 		return;
 	}
-	w->bad_jobs++;
-	if (w->probing || w->bad_jobs >= BAD_JOBS_MAX)
+	w->failed_jobs++;
+	if (w->probing || w->failed_jobs >= BAD_JOBS_MAX)
 		quarantine(s, now, w);
 }
 
 /* A job ended well on a worker. */
-void health_done(struct sched *s, uint32_t worker)
+void health_succeeded(struct sched *s, uint32_t worker)
 {
 	struct sched_worker *w = sched_worker_at(s, worker);
 
-	w->bad_jobs = 0;
+	w->failed_jobs = 0;
 	w->quarantined = false;
 	w->probing = false;
 	w->quarantine_length = 0;
--- a/packages/coordination/sched-hold.c
+++ b/packages/coordination/sched-hold.c
@@ -6,7 +6,7 @@
 /* The cell of an organisation's table of unused guaranteed accelerators per worker. */
 static uint32_t *left_cell(const struct sched *s, uint32_t org, uint32_t worker)
 {
-	GArray *table = sched_org_at(s, org)->left;
+	GArray *table = sched_org_at(s, org)->unused_guarantee;
 
 	if (table->len <= worker)
 		g_array_set_size(table, worker + 1);
@@ -14,7 +14,7 @@
 }
 
 /* Guaranteed accelerators on a worker that the organisation does not use. */
-uint32_t org_left(const struct sched *s, uint32_t org, uint32_t worker)
+uint32_t org_unused(const struct sched *s, uint32_t org, uint32_t worker)
 {
 	return *left_cell(s, org, worker);
 }
@@ -57,7 +57,7 @@
 }
 
 /* Unused accelerators of a hold on a worker. */
-uint32_t hold_left_on(const struct sched_hold *h, uint32_t worker)
+uint32_t hold_unused_on(const struct sched_hold *h, uint32_t worker)
 {
 	const struct hold_piece *p = piece_on(h, worker);
 
@@ -65,7 +65,7 @@
 }
 
 /* Unused accelerators of a hold that has a place. */
-uint32_t hold_left(const struct sched_hold *h)
+uint32_t hold_unused(const struct sched_hold *h)
 {
 	uint32_t sum = 0;
 
@@ -77,7 +77,7 @@
 /* Whether a hold has a place that nobody uses. */
 bool hold_movable(const struct sched_hold *h)
 {
-	return h->placed && hold_left(h) == h->accelerators;
+	return h->placed && hold_unused(h) == h->accelerators;
 }
 
 /* Whether a hold keeps accelerators on a worker. */
@@ -100,7 +100,7 @@
 }
 
 /* Put a hold where it was packed; pieces on one worker become one. */
-void hold_put(struct sched *s, struct sched_hold *h, const GArray *pieces)
+void hold_place(struct sched *s, struct sched_hold *h, const GArray *pieces)
 {
 	g_array_set_size(h->pieces, 0);
 	for (guint i = 0; i < pieces->len; i++) {
@@ -119,7 +119,7 @@
 }
 
 /* Take a hold from its place; what was charged to it is no longer. */
-void hold_lift(struct sched *s, struct sched_hold *h)
+void hold_unplace(struct sched *s, struct sched_hold *h)
 {
 	hold_drop_charges(s, h);
 	for (guint i = 0; i < h->pieces->len; i++)
@@ -160,13 +160,13 @@
 }
 
 /* Take a job's firm use out of the books. */
-void firm_clear(struct sched *s, struct sched_job *j)
+void committed_clear(struct sched *s, struct sched_job *j)
 {
 	for (uint32_t i = 0; i < j->members_len; i++) {
 		struct sched_member *m = &j->members[i];
 
-		res_sub(&sched_worker_at(s, m->worker)->firm, &m->firm);
-		memset(&m->firm, 0, sizeof(m->firm));
+		res_sub(&sched_worker_at(s, m->worker)->committed, &m->committed);
+		memset(&m->committed, 0, sizeof(m->committed));
 	}
 }
 
@@ -174,19 +174,19 @@
  * Enter a job's firm use anew. A charged member counts with the whole share of what it is
  * charged, so that the share is there again when the hold is unused.
  */
-void firm_update(struct sched *s, struct sched_job *j)
+void committed_update(struct sched *s, struct sched_job *j)
 {
-	firm_clear(s, j);
+	committed_clear(s, j);
 	for (uint32_t i = 0; (j->charged || !job_stoppable(j)) && i < j->members_len; i++) {
 		struct sched_member *m = &j->members[i];
 		struct sched_worker *w = sched_worker_at(s, m->worker);
 		struct sched_res share = res_share(&w->capacity, charged_part(j, m));
 
-		m->firm = m->need;
-		m->firm.slots = MAX(m->firm.slots, share.slots);
-		m->firm.cores = MAX(m->firm.cores, share.cores);
-		m->firm.memory_mb = MAX(m->firm.memory_mb, share.memory_mb);
-		res_add(&w->firm, &m->firm);
+		m->committed = m->need;
+		m->committed.slots = MAX(m->committed.slots, share.slots);
+		m->committed.cores = MAX(m->committed.cores, share.cores);
+		m->committed.memory_mb = MAX(m->committed.memory_mb, share.memory_mb);
+		res_add(&w->committed, &m->committed);
 	}
 }
 
@@ -201,7 +201,7 @@
 		charge_some(s, j, h, p->worker, p->accelerators);
 	}
 	j->charged = true;
-	firm_update(s, j);
+	committed_update(s, j);
 }
 
 /* The hold of a job's organisation on a worker with the least unused; NULL for none. */
@@ -213,8 +213,8 @@
 	for (guint i = 0; i < s->holds->len; i++) {
 		struct sched_hold *h = s->holds->pdata[i];
 
-		if (h->org == j->org && hold_left_on(h, worker) > 0 &&
-			(best == NULL || hold_left(h) < hold_left(best)))
+		if (h->org == j->org && hold_unused_on(h, worker) > 0 &&
+			(best == NULL || hold_unused(h) < hold_unused(best)))
 			best = h;
 	}
 	return best;
@@ -242,7 +242,7 @@
 		}
 	}
 	j->charged = true;
-	firm_update(s, j);
+	committed_update(s, j);
 }
 
 /* Give one charge back. */
@@ -298,11 +298,11 @@
 		struct sched_job *j = jobs->pdata[i];
 
 		if (j->state == SCHED_JOB_CLAIMING) {
-			sched_give_back(s, j);
+			sched_release(s, j);
 			queue_add(s, j->claim_at, j);
 			continue;
 		}
 		j->charged = j->charges->len > 0;
-		firm_update(s, j);
+		committed_update(s, j);
 	}
 }
--- a/packages/coordination/sched-learn.c
+++ b/packages/coordination/sched-learn.c
@@ -15,15 +15,16 @@
 #define OVERDUE_FACTOR 0.5
 
 /* The record of an organisation and kind. */
-static struct sched_learned *find_learned(struct sched *s, const struct sched_job *j, bool make)
+static struct sched_run_time_stats *find_learned(
+	struct sched *s, const struct sched_job *j, bool make)
 {
 	g_autofree char *key =
 		g_strdup_printf("%s/%s", sched_org_at(s, j->org)->name, j->kind ? j->kind : "");
-	struct sched_learned *l = g_hash_table_lookup(s->learned, key);
+	struct sched_run_time_stats *l = g_hash_table_lookup(s->run_time_stats, key);
 
 	if (l == NULL && make) {
 		l = xcalloc(1, sizeof(*l));
-		g_hash_table_insert(s->learned, g_strdup(key), l);
+		g_hash_table_insert(s->run_time_stats, g_strdup(key), l);
 	}
 	return l;
 }
@@ -31,25 +32,27 @@
 /* How long a job is expected to run. */
 int64_t learn_estimate(struct sched *s, const struct sched_job *j)
 {
-	const struct sched_learned *l = find_learned(s, j, false);
+	const struct sched_run_time_stats *l = find_learned(s, j, false);
 	double seconds;
 
-	if (j->declared <= 0)
+	if (j->declared_run_time <= 0)
 		return l != NULL && l->samples >= 1
 			       ? MAX((int64_t)(l->mean_s * (double)NSEC_PER_SEC), ESTIMATE_MIN)
 			       : ESTIMATE_DEFAULT;
-	seconds = (double)j->declared / (double)NSEC_PER_SEC;
+	seconds = (double)j->declared_run_time / (double)NSEC_PER_SEC;
 	if (l != NULL)
 		seconds *= exp(l->log_sum / (l->samples + 1));
 	return MAX((int64_t)(seconds * (double)NSEC_PER_SEC), ESTIMATE_MIN);
 }
 
 /* Learn from a job that ran to its end. */
-void learn_sample(struct sched *s, const struct sched_job *j, int64_t actual)
+void learn_run_time(struct sched *s, const struct sched_job *j, int64_t actual)
 {
-	struct sched_learned *l = find_learned(s, j, true);
+	struct sched_run_time_stats *l = find_learned(s, j, true);
 	double seconds = (double)MAX(actual, 1) / (double)NSEC_PER_SEC;
-	double ratio = j->declared > 0 ? (double)MAX(actual, 1) / (double)j->declared : 1;
+	double ratio = j->declared_run_time > 0
+			       ? (double)MAX(actual, 1) / (double)j->declared_run_time
+			       : 1;
 
 	if (l->samples >= SAMPLES_KEPT) {
 		l->log_sum *= (SAMPLES_KEPT - 1) / l->samples;
--- a/packages/coordination/sched-plan.c
+++ b/packages/coordination/sched-plan.c
@@ -6,14 +6,14 @@
 /* How many more accelerators of a worker can be kept for guarantees. */
 static uint32_t hold_room(const struct sched_worker *w)
 {
-	int32_t n = w->capacity.accelerators - w->firm.accelerators - (int32_t)w->held;
+	int32_t n = w->capacity.accelerators - w->committed.accelerators - (int32_t)w->held;
 
 	if (!w->up || w->draining || w->quarantined)
 		return 0;
 	for (; n > 0; n--) {
 		struct sched_res need = res_share(&w->capacity, w->held + (uint32_t)n);
 
-		res_add(&need, &w->firm);
+		res_add(&need, &w->committed);
 		if (res_fits(&need, &w->capacity))
 			return (uint32_t)n;
 	}
@@ -59,7 +59,7 @@
 	if (rest > 0 &&
 		!pack_one(&shape, 0, (struct pack_worker *)rooms->data, rooms->len, pieces))
 		return false;
-	hold_put(s, h, pieces);
+	hold_place(s, h, pieces);
 	return true;
 }
 
@@ -129,7 +129,7 @@
 	g_ptr_array_sort(l.holds, compare_holds);
 	for (guint i = 0; i < l.holds->len; i++) {
 		g_ptr_array_add(l.places, save_place(l.holds->pdata[i]));
-		hold_lift(s, l.holds->pdata[i]);
+		hold_unplace(s, l.holds->pdata[i]);
 	}
 	return l;
 }
@@ -151,12 +151,12 @@
 static void restore_lifted(struct sched *s, const struct lifted *l)
 {
 	for (guint i = 0; i < l->holds->len; i++)
-		hold_lift(s, l->holds->pdata[i]);
+		hold_unplace(s, l->holds->pdata[i]);
 	for (guint i = 0; i < l->holds->len; i++) {
 		GArray *old = l->places->pdata[i];
 
 		if (old->len > 0)
-			hold_put(s, l->holds->pdata[i], old);
+			hold_place(s, l->holds->pdata[i], old);
 	}
 }
 
@@ -185,21 +185,21 @@
  * places; one of its own organisation's may come to lie around it. False, and nothing changed,
  * where they do not.
  */
-bool plan_take_around(struct sched *s, int64_t now, struct sched_job *j)
+bool plan_start_moving_holds(struct sched *s, int64_t now, struct sched_job *j)
 {
 	uint32_t before = count_unplaced(s);
 	struct lifted l = lift_unused(s);
 	struct fit f;
-	bool ok = fit_job(s, now, j, FIT_FIRM, NULL, &f);
+	bool ok = fit_job(s, now, j, FIT_COMMITTED, NULL, &f);
 
 	if (ok)
-		sched_take(s, j, &f, false, NULL, false);
+		sched_assign(s, j, &f, false, NULL, false);
 	if (ok) {
 		cover_by_any(s, j);
 		place_lifted(s, &l);
 	}
 	if (ok && count_unplaced(s) > before) {
-		sched_give_back(s, j);
+		sched_release(s, j);
 		ok = false;
 	}
 	if (!ok)
@@ -209,7 +209,7 @@
 }
 
 /* Find places for the holds that have none, moving others where that helps. */
-void plan_place(struct sched *s, int64_t now)
+void plan_place_holds(struct sched *s, int64_t now)
 {
 	GArray *rooms;
 
@@ -236,7 +236,7 @@
 /* Whether firm use and unused guarantees no longer fit together on a worker. */
 static bool is_overfull(const struct sched_worker *w)
 {
-	struct sched_res room = worker_firm_room(w);
+	struct sched_res room = worker_uncommitted(w);
 	struct sched_res none = {0};
 
 	return w->up && !res_fits(&none, &room);
@@ -246,7 +246,7 @@
  * Lift holds from workers where firm use and unused guarantees no longer fit together: those
  * that nobody uses first, then the others.
  */
-void plan_lift_overfull(struct sched *s)
+void plan_unplace_overcommitted(struct sched *s)
 {
 	for (uint32_t w = 0; w < s->workers->len; w++) {
 		for (guint i = 0; i < 2 * s->holds->len; i++) {
@@ -256,7 +256,7 @@
 			if (!is_overfull(sched_worker_at(s, w)))
 				break;
 			if (hold_is_on(h, w) && (any || hold_movable(h)))
-				hold_lift(s, h);
+				hold_unplace(s, h);
 		}
 	}
 }
@@ -311,11 +311,11 @@
 
 		if (!h->stale)
 			continue;
-		hold_lift(s, h);
+		hold_unplace(s, h);
 		g_ptr_array_remove_index(s->holds, i);
 	}
-	plan_cover_running(s);
-	plan_place(s, now);
+	plan_charge_running(s);
+	plan_place_holds(s, now);
 }
 
 /* Whether a hold keeps accelerators where its owner could not use them now. */
@@ -331,7 +331,7 @@
 }
 
 /* Move the unused holds away from workers that take no work, where there is room elsewhere. */
-void plan_avoid_unfit(struct sched *s)
+void plan_move_from_unavailable(struct sched *s)
 {
 	for (guint i = 0; i < s->holds->len; i++) {
 		struct sched_hold *h = s->holds->pdata[i];
@@ -341,24 +341,24 @@
 		if (!hold_movable(h) || !is_misplaced(s, h))
 			continue;
 		old = save_place(h);
-		hold_lift(s, h);
+		hold_unplace(s, h);
 		rooms = hold_rooms(s);
 		if (!place_hold(s, h, rooms))
-			hold_put(s, h, old);
+			hold_place(s, h, old);
 	}
 }
 
 /* A worker is gone: its holds need new places. */
-void plan_drop_worker(struct sched *s, int64_t now, uint32_t worker)
+void plan_worker_down(struct sched *s, int64_t now, uint32_t worker)
 {
 	for (guint i = 0; i < s->holds->len; i++) {
 		struct sched_hold *h = s->holds->pdata[i];
 
 		if (hold_is_on(h, worker))
-			hold_lift(s, h);
+			hold_unplace(s, h);
 	}
-	plan_cover_running(s);
-	plan_place(s, now);
+	plan_charge_running(s);
+	plan_place_holds(s, now);
 }
 
 /* Move an unused hold to where all is free; false, and nothing changed, where that is nowhere.
@@ -368,13 +368,13 @@
 	g_autoptr(GArray) old = save_place(h);
 	g_autoptr(GArray) rooms = NULL;
 
-	hold_lift(s, h);
+	hold_unplace(s, h);
 	rooms = free_rooms(s);
 	if (place_hold(s, h, rooms)) {
 		s->counts.moved_holds++;
 		return true;
 	}
-	hold_put(s, h, old);
+	hold_place(s, h, old);
 	return false;
 }
 
@@ -446,7 +446,7 @@
 	g_autoptr(GArray) rooms = NULL;
 	bool ok;
 
-	firm_clear(s, j);
+	committed_clear(s, j);
 	rooms = hold_rooms(s);
 	ok = take_members(j, rooms, pieces);
 	if (ok)
@@ -455,7 +455,7 @@
 	if (ok)
 		hold_charge(s, j, h);
 	else
-		firm_update(s, j);
+		committed_update(s, j);
 	return ok;
 }
 
@@ -494,7 +494,7 @@
 
 		p->worker = j->members[p->worker].worker;
 	}
-	hold_put(s, h, pieces);
+	hold_place(s, h, pieces);
 	hold_charge_all(s, j, h);
 	return true;
 }
@@ -515,7 +515,7 @@
 }
 
 /* Place holds around running jobs that no hold covers; those that cannot be stopped first. */
-void plan_cover_running(struct sched *s)
+void plan_charge_running(struct sched *s)
 {
 	if (count_unplaced(s) == 0)
 		return;
--- a/packages/coordination/sched-private.h
+++ b/packages/coordination/sched-private.h
@@ -60,13 +60,13 @@
 	 * Used or pending resources that cannot be reclaimed, because they are charged to a
 	 * guarantee or the job cannot be stopped.
 	 */
-	struct sched_res firm;
+	struct sched_res committed;
 	/* Guaranteed accelerators that their owners do not use. */
 	uint32_t held;
 	uint32_t jobs;
 	int64_t reserved_until;
 	job_ref reserved_for;
-	uint32_t bad_jobs;
+	uint32_t failed_jobs;
 	int64_t quarantine_until;
 	int64_t quarantine_length;
 	bool quarantined;
@@ -78,7 +78,7 @@
  * Run times of the jobs of one organisation and kind: the sum of the logarithms of actual by
  * declared run time, the number of samples, and the mean run time in seconds.
  */
-struct sched_learned {
+struct sched_run_time_stats {
 	double log_sum;
 	double samples;
 	double mean_s;
@@ -93,7 +93,7 @@
 	uint32_t running_accelerators;
 	uint32_t jobs;
 	/* Guaranteed accelerators on each worker that the organisation does not use. */
-	GArray *left;
+	GArray *unused_guarantee;
 	/* Queued jobs, urgent ones first, then in the order of arrival. */
 	GTree *queue;
 	/* Number of jobs that have not ended, by class priority. */
@@ -126,7 +126,7 @@
 	GArray *free_refs;
 	GPtrArray *active;
 	GTree *queue;
-	GHashTable *learned;
+	GHashTable *run_time_stats;
 	GQueue actions;
 	uint64_t sequence;
 	struct sched_counts counts;
@@ -153,36 +153,36 @@
 struct sched_res res_need(const struct sched_job *j, uint32_t accelerators);
 bool share_covers(const struct sched_worker *w, const struct sched_res *need, uint32_t n);
 struct sched_res worker_free(const struct sched_worker *w);
-struct sched_res worker_firm_room(const struct sched_worker *w);
+struct sched_res worker_uncommitted(const struct sched_worker *w);
 uint32_t res_fit_count(const struct sched_job *j, const struct sched_res *available);
 
 /* sched-hold.c: accounting of guaranteed shapes and of the jobs charged to them. */
-uint32_t org_left(const struct sched *s, uint32_t org, uint32_t worker);
+uint32_t org_unused(const struct sched *s, uint32_t org, uint32_t worker);
 struct sched_hold *hold_new(uint32_t org, const struct doc_guarantee *g);
 void hold_free(void *p);
 struct hold_piece *hold_piece_at(const struct sched_hold *h, guint i);
-uint32_t hold_left_on(const struct sched_hold *h, uint32_t worker);
-uint32_t hold_left(const struct sched_hold *h);
+uint32_t hold_unused_on(const struct sched_hold *h, uint32_t worker);
+uint32_t hold_unused(const struct sched_hold *h);
 bool hold_movable(const struct sched_hold *h);
 bool hold_is_on(const struct sched_hold *h, uint32_t worker);
-void hold_put(struct sched *s, struct sched_hold *h, const GArray *pieces);
-void hold_lift(struct sched *s, struct sched_hold *h);
+void hold_place(struct sched *s, struct sched_hold *h, const GArray *pieces);
+void hold_unplace(struct sched *s, struct sched_hold *h);
 void hold_charge(struct sched *s, struct sched_job *j, struct sched_hold *first);
 void hold_charge_all(struct sched *s, struct sched_job *j, struct sched_hold *h);
 void hold_uncharge(struct sched *s, struct sched_job *j);
-void firm_update(struct sched *s, struct sched_job *j);
-void firm_clear(struct sched *s, struct sched_job *j);
+void committed_update(struct sched *s, struct sched_job *j);
+void committed_clear(struct sched *s, struct sched_job *j);
 void hold_drop_charges(struct sched *s, struct sched_hold *h);
 
 /* sched-plan.c: placement of guaranteed shapes. */
 void plan_set_holds(struct sched *s, int64_t now, const struct doc *d);
-void plan_drop_worker(struct sched *s, int64_t now, uint32_t worker);
-void plan_place(struct sched *s, int64_t now);
+void plan_worker_down(struct sched *s, int64_t now, uint32_t worker);
+void plan_place_holds(struct sched *s, int64_t now);
 bool plan_move_to_free(struct sched *s, struct sched_hold *h);
-bool plan_take_around(struct sched *s, int64_t now, struct sched_job *j);
-void plan_avoid_unfit(struct sched *s);
-void plan_cover_running(struct sched *s);
-void plan_lift_overfull(struct sched *s);
+bool plan_start_moving_holds(struct sched *s, int64_t now, struct sched_job *j);
+void plan_move_from_unavailable(struct sched *s);
+void plan_charge_running(struct sched *s);
+void plan_unplace_overcommitted(struct sched *s);
 
 /*
  * sched-fit.c: placement of jobs. The modes tell which resources of a worker count as
@@ -190,17 +190,18 @@
  *
  * FIT_CHARGED_FREE: unused guarantees of the job's organisation that are physically free.
  * FIT_CHARGED: unused guarantees of the job's organisation, even if borrowers use them.
- * FIT_FIRM: free resources that are not needed for any guarantee.
+ * FIT_COMMITTED: free resources that are not needed for any guarantee.
  * FIT_BORROWED: all free resources, including unused guarantees of other organisations.
- * FIT_FIRM_CLEARED and FIT_BORROWED_CLEARED: the same, with borrowers counted as stopped.
+ * FIT_COMMITTED_AFTER_PREEMPTION and FIT_BORROWED_AFTER_PREEMPTION: the same, with borrowers
+ * counted as stopped.
  */
 enum fit_mode {
 	FIT_CHARGED_FREE,
 	FIT_CHARGED,
-	FIT_FIRM,
+	FIT_COMMITTED,
 	FIT_BORROWED,
-	FIT_FIRM_CLEARED,
-	FIT_BORROWED_CLEARED
+	FIT_COMMITTED_AFTER_PREEMPTION,
+	FIT_BORROWED_AFTER_PREEMPTION
 };
 /* A placement, the number of workers considered and the most that one of them could take. */
 struct fit {
@@ -210,7 +211,7 @@
 	uint32_t largest;
 };
 bool job_stoppable(const struct sched_job *j);
-uint32_t fit_room(const struct sched *s, const struct sched_job *j, uint32_t worker,
+uint32_t fit_count(const struct sched *s, const struct sched_job *j, uint32_t worker,
 	enum fit_mode mode, const struct sched_hold *hold);
 bool fit_job(struct sched *s, int64_t now, const struct sched_job *j, enum fit_mode mode,
 	const struct sched_hold *hold, struct fit *out);
@@ -219,7 +220,7 @@
 
 /* sched-claim.c: placement of jobs by preempting borrowers. */
 bool claim_start(struct sched *s, int64_t now, struct sched_job *j);
-bool claim_turn(struct sched *s, int64_t now, struct sched_job *j);
+bool claim_time_slice(struct sched *s, int64_t now, struct sched_job *j);
 void claim_finish(struct sched *s, int64_t now);
 
 /* sched-queue.c: order of the queue and the scheduling pass. */
@@ -235,21 +236,21 @@
 
 /* sched-learn.c: run time estimates. */
 int64_t learn_estimate(struct sched *s, const struct sched_job *j);
-void learn_sample(struct sched *s, const struct sched_job *j, int64_t actual);
+void learn_run_time(struct sched *s, const struct sched_job *j, int64_t actual);
 int64_t learn_expected_end(const struct sched_job *j, int64_t now);
 
 /* sched-health.c: quarantine of failing workers. */
 bool health_allows(const struct sched_worker *w, const struct sched_job *j, int64_t now);
 void health_failed(struct sched *s, int64_t now, struct sched_job *j, uint32_t worker);
-void health_done(struct sched *s, uint32_t worker);
-bool health_job_is_bad(const struct sched_job *j);
+void health_succeeded(struct sched *s, uint32_t worker);
+bool health_job_at_fault(const struct sched_job *j);
 
 /* sched.c */
-void sched_take(struct sched *s, struct sched_job *j, const struct fit *f, bool charged,
+void sched_assign(struct sched *s, struct sched_job *j, const struct fit *f, bool charged,
 	struct sched_hold *hold, bool pending);
-void sched_give_back(struct sched *s, struct sched_job *j);
-void sched_begin(struct sched *s, int64_t now, struct sched_job *j);
-void sched_order_stop(
+void sched_release(struct sched *s, struct sched_job *j);
+void sched_begin_attempt(struct sched *s, int64_t now, struct sched_job *j);
+void sched_stop_job(
 	struct sched *s, struct sched_job *j, enum stop_mode mode, enum sched_stop_reason why);
 void sched_end(struct sched *s, struct sched_job *j, enum outcome outcome,
 	enum error_kind error, bool not_run, const char *fmt, ...)
--- a/packages/coordination/sched-queue.c
+++ b/packages/coordination/sched-queue.c
@@ -89,13 +89,13 @@
 	const struct sched_org *o = sched_org_at(s, j->org);
 
 	if (j->not_before > now) {
-		j->decision.why = SCHED_WHY_BACKOFF;
-		j->decision.expected = j->not_before;
+		j->decision.why = SCHED_REASON_BACKOFF;
+		j->decision.expected_at = j->not_before;
 		return false;
 	}
 	if (o->quota_accelerators > 0 &&
 		o->running_accelerators + j->accelerators > o->quota_accelerators) {
-		j->decision.why = SCHED_WHY_QUOTA;
+		j->decision.why = SCHED_REASON_QUOTA;
 		return false;
 	}
 	return true;
@@ -118,7 +118,7 @@
 	uint32_t sum = 0;
 
 	for (uint32_t w = 0; w < s->workers->len; w++)
-		sum += org_left(s, org, w);
+		sum += org_unused(s, org, w);
 	return sum;
 }
 
@@ -227,7 +227,7 @@
 {
 	uint32_t *capacity = xcalloc(s->workers->len, sizeof(*capacity));
 	GArray *workers = g_array_new(FALSE, TRUE, sizeof(uint32_t));
-	enum fit_mode mode = job_stoppable(j) ? FIT_BORROWED : FIT_FIRM;
+	enum fit_mode mode = job_stoppable(j) ? FIT_BORROWED : FIT_COMMITTED;
 	bool found = false;
 	int64_t when = 0;
 
@@ -236,7 +236,7 @@
 
 		if (at->up && !at->draining && !at->quarantined &&
 			at->reserved_for == JOB_REF_NONE)
-			capacity[w] = fit_room(s, j, w, mode, NULL);
+			capacity[w] = fit_count(s, j, w, mode, NULL);
 	}
 	for (guint i = 0; !found && i < ends->len; i++) {
 		const struct expected_end *e = &g_array_index(ends, struct expected_end, i);
@@ -260,7 +260,7 @@
 		w->reserved_until = when;
 	}
 	if (found)
-		j->decision.expected = when;
+		j->decision.expected_at = when;
 	g_array_unref(workers);
 	free(capacity);
 	return found;
@@ -282,21 +282,21 @@
 	bool nonpreemptible = s->policy == SCHED_POLICY_FULL && !job_stoppable(j);
 	struct fit f;
 
-	if (fit_job(s, now, j, nonpreemptible ? FIT_FIRM : FIT_BORROWED, NULL, &f)) {
+	if (fit_job(s, now, j, nonpreemptible ? FIT_COMMITTED : FIT_BORROWED, NULL, &f)) {
 		j->decision = (struct sched_decision){
-			.why = backfill ? SCHED_WHY_BACKFILL : SCHED_WHY_FREE,
+			.why = backfill ? SCHED_REASON_BACKFILL : SCHED_REASON_FREE,
 			.at = now,
 			.considered = f.considered};
-		sched_take(s, j, &f, false, NULL, false);
-		sched_begin(s, now, j);
+		sched_assign(s, j, &f, false, NULL, false);
+		sched_begin_attempt(s, now, j);
 		return true;
 	}
-	if (nonpreemptible && plan_take_around(s, now, j)) {
-		j->decision = (struct sched_decision){.why = SCHED_WHY_FREE, .at = now};
-		sched_begin(s, now, j);
+	if (nonpreemptible && plan_start_moving_holds(s, now, j)) {
+		j->decision = (struct sched_decision){.why = SCHED_REASON_FREE, .at = now};
+		sched_begin_attempt(s, now, j);
 		return true;
 	}
-	j->decision.why = nonpreemptible ? SCHED_WHY_UNSTOPPABLE : SCHED_WHY_BLOCKED;
+	j->decision.why = nonpreemptible ? SCHED_REASON_UNSTOPPABLE : SCHED_REASON_BLOCKED;
 	j->decision.considered = f.considered;
 	j->decision.largest_free = f.largest;
 	return false;
@@ -323,11 +323,11 @@
 		struct sched_job *j = list->pdata[i];
 		uint64_t hash = placement_hash(j);
 
-		j->decision.before = i;
+		j->decision.jobs_ahead = i;
 		if (!is_eligible(s, now, j))
 			continue;
 		if (g_hash_table_contains(failed, &hash)) {
-			j->decision.why = SCHED_WHY_BEHIND;
+			j->decision.why = SCHED_REASON_BEHIND;
 			continue;
 		}
 		attempts++;
@@ -339,7 +339,7 @@
 			(j->urgent || (!large_blocked && j->accelerators >= LARGE_JOB))) {
 			preemptions++;
 			large_blocked |= !j->urgent;
-			if (claim_turn(s, now, j))
+			if (claim_time_slice(s, now, j))
 				continue;
 		}
 		g_hash_table_add(failed, g_memdup2(&hash, sizeof(hash)));
@@ -365,8 +365,8 @@
 {
 	if (s->policy == SCHED_POLICY_FULL) {
 		clear_reservations(s);
-		plan_place(s, now);
-		plan_avoid_unfit(s);
+		plan_place_holds(s, now);
+		plan_move_from_unavailable(s);
 		claim_finish(s, now);
 		for (uint32_t o = 0; o < s->orgs->len; o++)
 			claim_guarantees(s, now, o);
--- a/packages/coordination/sched-res.c
+++ b/packages/coordination/sched-res.c
@@ -96,7 +96,7 @@
  * Returns what can be allocated to jobs that cannot be stopped: the capacity of a worker less
  * what cannot be reclaimed and the share of unused guarantees; nothing if it is down.
  */
-struct sched_res worker_firm_room(const struct sched_worker *w)
+struct sched_res worker_uncommitted(const struct sched_worker *w)
 {
 	struct sched_res r = {0};
 	struct sched_res held;
@@ -105,7 +105,7 @@
 		return r;
 	held = res_share(&w->capacity, w->held);
 	r = w->capacity;
-	res_sub(&r, &w->firm);
+	res_sub(&r, &w->committed);
 	res_sub(&r, &held);
 	return r;
 }
--- a/packages/coordination/sched-view.c
+++ b/packages/coordination/sched-view.c
@@ -11,37 +11,38 @@
 	const char *text;
 	const char *unblock;
 } why_texts[] = {
-	[SCHED_WHY_NEW] = {"new", "it has just come and is looked at in the next pass", ""},
-	[SCHED_WHY_GUARANTEE] = {"guarantee",
+	[SCHED_REASON_NEW] = {"new", "it has just come and is looked at in the next pass", ""},
+	[SCHED_REASON_GUARANTEE] = {"guarantee",
 		"it was placed inside its organisation's guarantee on free accelerators", ""},
-	[SCHED_WHY_CLAIM] = {"claim",
+	[SCHED_REASON_CLAIM] = {"claim",
 		"it claimed its organisation's guarantee; borrowers there were told to stop",
 		"the borrowers are gone within the grace time"},
-	[SCHED_WHY_FREE] = {"free", "it was placed on free accelerators in its turn", ""},
-	[SCHED_WHY_BACKFILL] = {"backfill",
+	[SCHED_REASON_FREE] = {"free", "it was placed on free accelerators in its turn", ""},
+	[SCHED_REASON_BACKFILL] = {"backfill",
 		"it was placed ahead of a larger job that it does not delay", ""},
-	[SCHED_WHY_BLOCKED] = {"blocked",
+	[SCHED_REASON_BLOCKED] = {"blocked",
 		"no place has enough free accelerators close enough together",
 		"a running job has to end, or a wider adjacency be accepted"},
-	[SCHED_WHY_BEHIND] = {"behind", "a job of the same shape is ahead and does not fit yet",
+	[SCHED_REASON_BEHIND] = {"behind",
+		"a job of the same shape is ahead and does not fit yet",
 		"the job ahead has to start"},
-	[SCHED_WHY_QUOTA] = {"quota", "its organisation uses all of its quota",
+	[SCHED_REASON_QUOTA] = {"quota", "its organisation uses all of its quota",
 		"another job of the organisation has to end, or the quota be raised"},
-	[SCHED_WHY_BACKOFF] = {"backoff", "an attempt failed and the next one is being delayed",
-		"the delay has to pass"},
-	[SCHED_WHY_UNSTOPPABLE] = {"unstoppable",
+	[SCHED_REASON_BACKOFF] = {"backoff",
+		"an attempt failed and the next one is being delayed", "the delay has to pass"},
+	[SCHED_REASON_UNSTOPPABLE] = {"unstoppable",
 		"it cannot be stopped, so it may not borrow what is guaranteed to others",
 		"capacity that nobody is guaranteed has to be free, or the job be made "
 		"idempotent or able to checkpoint"},
-	[SCHED_WHY_SETTLING] = {"settling",
+	[SCHED_REASON_SETTLING] = {"settling",
 		"a new coordinator is asking the workers what they run", ""},
-	[SCHED_WHY_PREEMPTED] = {"preempted",
+	[SCHED_REASON_PREEMPTED] = {"preempted",
 		"it ran on borrowed accelerators that their owner claimed",
 		"accelerators have to come free"},
 };
 
 /* Number of organisations that were ever known. */
-size_t sched_orgs(const struct sched *s)
+size_t sched_org_count(const struct sched *s)
 {
 	return s->orgs->len;
 }
@@ -61,7 +62,7 @@
 		const struct sched_worker *w = sched_worker_at(s, i);
 		int32_t unheld = w->capacity.accelerators - w->used.accelerators;
 		int32_t lent = (int32_t)w->held - MAX(unheld, 0);
-		uint32_t left = org_left(s, org, i);
+		uint32_t left = org_unused(s, org, i);
 
 		if (w->up && lent > 0)
 			sum += MIN((uint32_t)lent, left);
@@ -81,7 +82,7 @@
 		const struct sched_hold *h = s->holds->pdata[i];
 
 		if (h->org == org && h->placed)
-			out->used_guaranteed += h->accelerators - hold_left(h);
+			out->used_guaranteed += h->accelerators - hold_unused(h);
 	}
 	out->borrowed = o->running_accelerators - out->used_guaranteed;
 	out->lent = lent_by(s, org);
@@ -95,7 +96,7 @@
 }
 
 /* Number of workers that were ever known. */
-size_t sched_workers(const struct sched *s)
+size_t sched_worker_count(const struct sched *s)
 {
 	return s->workers->len;
 }
@@ -183,10 +184,10 @@
 	if (j == NULL)
 		return NULL;
 	d = &j->decision;
-	why = &why_texts[s->settling && j->state == SCHED_JOB_QUEUED ? SCHED_WHY_SETTLING
+	why = &why_texts[s->settling && j->state == SCHED_JOB_QUEUED ? SCHED_REASON_SETTLING
 								     : d->why];
 	for (uint32_t i = 0; i < s->workers->len; i++)
-		left += org_left(s, j->org, i);
+		left += org_unused(s, j->org, i);
 	o = json_pack("{s:s,s:s,s:s,s:s,s:s,s:I,s:i,s:i,s:b}", "state", state_names[j->state],
 		"reason", why->name, "text", why->text, "unblock", why->unblock, "adjacency",
 		adjacency_name(j->adjacency), "accelerators", (json_int_t)j->accelerators,
@@ -198,12 +199,12 @@
 	json_object_set_new(o, "workers_considered", json_integer(d->considered));
 	json_object_set_new(o, "largest_fit", json_integer(d->largest_free));
 	json_object_set_new(o, "guarantee_left", json_integer(left));
-	json_object_set_new(o, "ahead", json_integer(d->before));
+	json_object_set_new(o, "ahead", json_integer(d->jobs_ahead));
 	json_object_set_new(o, "borrowers_stopped", json_integer(d->victims));
 	json_object_set_new(o, "estimate_ms", json_integer(j->estimate / NSEC_PER_MSEC));
-	if (d->expected > now)
-		json_object_set_new(
-			o, "expected_in_ms", json_integer((d->expected - now) / NSEC_PER_MSEC));
+	if (d->expected_at > now)
+		json_object_set_new(o, "expected_in_ms",
+			json_integer((d->expected_at - now) / NSEC_PER_MSEC));
 	json_object_set_new(o, "members", members_json(s, j));
 	return o;
 }
--- a/packages/coordination/sched.c
+++ b/packages/coordination/sched.c
@@ -26,7 +26,7 @@
 	struct sched_org *o = p;
 
 	free(o->name);
-	g_array_unref(o->left);
+	g_array_unref(o->unused_guarantee);
 	g_tree_destroy(o->queue);
 	g_hash_table_destroy(o->class_jobs);
 	free(o);
@@ -63,7 +63,7 @@
 	s->free_refs = g_array_new(FALSE, FALSE, sizeof(job_ref));
 	s->active = g_ptr_array_new();
 	s->queue = g_tree_new_full(queue_compare, NULL, NULL, NULL);
-	s->learned = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free);
+	s->run_time_stats = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free);
 	g_queue_init(&s->actions);
 	return s;
 }
@@ -87,7 +87,7 @@
 	g_ptr_array_unref(s->active);
 	g_array_unref(s->free_refs);
 	g_tree_destroy(s->queue);
-	g_hash_table_destroy(s->learned);
+	g_hash_table_destroy(s->run_time_stats);
 	g_hash_table_destroy(s->class_queue_max);
 	g_rand_free(s->rand);
 	free(s);
@@ -110,7 +110,7 @@
 	}
 	o = xcalloc(1, sizeof(*o));
 	o->name = xstrdup(name);
-	o->left = g_array_new(FALSE, TRUE, sizeof(uint32_t));
+	o->unused_guarantee = g_array_new(FALSE, TRUE, sizeof(uint32_t));
 	o->queue = g_tree_new_full(queue_compare_arrival, NULL, NULL, NULL);
 	o->class_jobs = g_hash_table_new(g_direct_hash, g_direct_equal);
 	g_ptr_array_add(s->orgs, o);
@@ -179,7 +179,7 @@
 	w->draining = false;
 	s->dirty = true;
 	if (s->policy == SCHED_POLICY_FULL)
-		plan_place(s, now);
+		plan_place_holds(s, now);
 	return at;
 }
 
@@ -197,7 +197,7 @@
 	w->up = false;
 	s->dirty = true;
 	if (s->policy == SCHED_POLICY_FULL)
-		plan_drop_worker(s, now, worker);
+		plan_worker_down(s, now, worker);
 }
 
 /* Starts or ends the draining of a worker; nothing is placed on a draining worker. */
@@ -219,7 +219,7 @@
  * the job's organisation, the given hold first. If pending, the job waits for borrowers to stop
  * before it uses them.
  */
-void sched_take(struct sched *s, struct sched_job *j, const struct fit *f, bool charged,
+void sched_assign(struct sched *s, struct sched_job *j, const struct fit *f, bool charged,
 	struct sched_hold *hold, bool pending)
 {
 	memcpy(j->members, f->members, f->len * sizeof(f->members[0]));
@@ -237,16 +237,16 @@
 	if (charged)
 		hold_charge(s, j, hold);
 	else
-		firm_update(s, j);
+		committed_update(s, j);
 	g_ptr_array_add(s->active, j);
 }
 
 /* Releases the resources of a job's members and removes the members. */
-void sched_give_back(struct sched *s, struct sched_job *j)
+void sched_release(struct sched *s, struct sched_job *j)
 {
 	bool pending = j->state == SCHED_JOB_CLAIMING;
 
-	firm_clear(s, j);
+	committed_clear(s, j);
 	for (uint32_t i = 0; i < j->members_len; i++) {
 		struct sched_member *m = &j->members[i];
 		struct sched_worker *w = sched_worker_at(s, m->worker);
@@ -277,7 +277,7 @@
 }
 
 /* Begins a new attempt of a job to which resources are allocated. */
-void sched_begin(struct sched *s, int64_t now, struct sched_job *j)
+void sched_begin_attempt(struct sched *s, int64_t now, struct sched_job *j)
 {
 	if (j->state == SCHED_JOB_QUEUED)
 		queue_remove(s, j);
@@ -287,11 +287,11 @@
 	j->placed_at = now;
 	j->started_at = 0;
 	s->counts.placed++;
-	push_action(s, SCHED_PLACE, j);
+	push_action(s, SCHED_ACTION_PLACE, j);
 }
 
 /* Orders all members of a job to stop. */
-void sched_order_stop(
+void sched_stop_job(
 	struct sched *s, struct sched_job *j, enum stop_mode mode, enum sched_stop_reason why)
 {
 	struct sched_action *a;
@@ -302,14 +302,14 @@
 		s->counts.preempted++;
 		j->preemptions++;
 	}
-	a = push_action(s, SCHED_STOP, j);
+	a = push_action(s, SCHED_ACTION_STOP, j);
 	a->stop.mode = mode;
 	a->stop.why = why;
 }
 
 /*
- * Ends a job with an outcome and a detail text. The caller removes the job with sched_forget
- * after it has delivered the answer.
+ * Ends a job with an outcome and a detail text. The caller removes the job with
+ * sched_remove_job after it has delivered the answer.
  */
 void sched_end(struct sched *s, struct sched_job *j, enum outcome outcome,
 	enum error_kind error, bool not_run, const char *fmt, ...)
@@ -326,7 +326,7 @@
 	g_hash_table_insert(o->class_jobs, priority,
 		GUINT_TO_POINTER(
 			GPOINTER_TO_UINT(g_hash_table_lookup(o->class_jobs, priority)) - 1));
-	a = push_action(s, SCHED_END, j);
+	a = push_action(s, SCHED_ACTION_END, j);
 	a->end.outcome = outcome;
 	a->end.error = error;
 	a->end.not_run = not_run;
@@ -364,7 +364,7 @@
 	j->memory_mb = spec->memory_mb;
 	j->idempotent = spec->idempotent;
 	j->checkpoint = spec->checkpoint;
-	j->declared = spec->run_time_ms * NSEC_PER_MSEC;
+	j->declared_run_time = spec->run_time_ms * NSEC_PER_MSEC;
 	j->deadline = spec->deadline_ms > 0 ? now + spec->deadline_ms * NSEC_PER_MSEC : 0;
 	j->submitted = now;
 	j->owner = owner;
@@ -422,7 +422,7 @@
 	if (!admit_job(s, j))
 		return j->ref;
 	fit_count_shape(s, j);
-	j->decision = (struct sched_decision){.why = SCHED_WHY_NEW, .at = now};
+	j->decision = (struct sched_decision){.why = SCHED_REASON_NEW, .at = now};
 	queue_add(s, now, j);
 	return j->ref;
 }
@@ -448,17 +448,17 @@
 	j->started_at = now - running;
 	j->placed_at = j->started_at;
 	j->state = SCHED_JOB_RUNNING;
-	j->decision = (struct sched_decision){.why = SCHED_WHY_FREE, .at = now};
-	sched_take(s, j, &f, false, NULL, false);
+	j->decision = (struct sched_decision){.why = SCHED_REASON_FREE, .at = now};
+	sched_assign(s, j, &f, false, NULL, false);
 	for (uint32_t i = 0; i < len; i++)
 		found += members[i].accelerators;
 	j->partial = found < j->accelerators;
 	if (j->partial)
-		sched_order_stop(s, j, STOP_NOW, SCHED_STOP_MEMBER_LOST);
+		sched_stop_job(s, j, STOP_NOW, SCHED_STOP_MEMBER_LOST);
 	if (s->policy == SCHED_POLICY_FULL) {
-		plan_lift_overfull(s);
-		plan_cover_running(s);
-		plan_place(s, now);
+		plan_unplace_overcommitted(s);
+		plan_charge_running(s);
+		plan_place_holds(s, now);
 	}
 	return j->ref;
 }
@@ -473,7 +473,7 @@
 		return;
 	switch (j->state) {
 	case SCHED_JOB_CLAIMING:
-		sched_give_back(s, j);
+		sched_release(s, j);
 		sched_end(s, j, OUTCOME_CANCELLED, ERR_CANCELLED, !j->ran,
 			"cancelled before it started");
 		break;
@@ -484,7 +484,7 @@
 	case SCHED_JOB_PLACING:
 	case SCHED_JOB_RUNNING:
 		j->cancel_wanted = true;
-		sched_order_stop(s, j, STOP_NOW, SCHED_STOP_CANCELLED);
+		sched_stop_job(s, j, STOP_NOW, SCHED_STOP_CANCELLED);
 		break;
 	case SCHED_JOB_STOPPING:
 		j->cancel_wanted = true;
@@ -515,7 +515,7 @@
 	j->not_before = delay > 0 ? now + (int64_t)((double)delay * jitter) : 0;
 	j->stop = SCHED_STOP_NONE;
 	j->decision = (struct sched_decision){
-		.why = delay > 0 ? SCHED_WHY_BACKOFF : SCHED_WHY_PREEMPTED, .at = now};
+		.why = delay > 0 ? SCHED_REASON_BACKOFF : SCHED_REASON_PREEMPTED, .at = now};
 	queue_add(s, now, j);
 }
 
@@ -527,7 +527,7 @@
 	if (j == NULL || j->attempt != attempt ||
 		(j->state != SCHED_JOB_PLACING && j->state != SCHED_JOB_STOPPING))
 		return;
-	sched_give_back(s, j);
+	sched_release(s, j);
 	if (j->cancel_wanted)
 		sched_end(s, j, OUTCOME_CANCELLED, ERR_CANCELLED, !j->ran,
 			"cancelled before it started");
@@ -570,7 +570,7 @@
 {
 	for (uint32_t i = 0; i < j->members_len; i++) {
 		if (j->members[i].end == MEMBER_END_DONE)
-			health_done(s, j->members[i].worker);
+			health_succeeded(s, j->members[i].worker);
 		else if (j->members[i].end == MEMBER_END_FAILED)
 			health_failed(s, now, j, j->members[i].worker);
 	}
@@ -601,7 +601,7 @@
 		return;
 	}
 	j->failures++;
-	if (!j->idempotent || j->failures >= FAILURES_MAX || health_job_is_bad(j)) {
+	if (!j->idempotent || j->failures >= FAILURES_MAX || health_job_at_fault(j)) {
 		enum error_kind kind = e->failed > 0 ? ERR_UPSTREAM_FAILED : ERR_MEMBER_LOST;
 
 		sched_end(s, j, OUTCOME_FAILED, kind, false, "attempt %u of %u failed",
@@ -620,10 +620,10 @@
 
 	record_worker_results(s, now, j);
 	if (done && j->started_at > 0)
-		learn_sample(s, j, now - j->started_at + j->saved);
+		learn_run_time(s, j, now - j->started_at + j->saved);
 	if (e.never_started < size || j->partial)
 		j->ran = true;
-	sched_give_back(s, j);
+	sched_release(s, j);
 	if (done)
 		sched_end(s, j, OUTCOME_DONE, ERR_INTERNAL, false, "done");
 	else if (j->cancel_wanted)
@@ -660,11 +660,11 @@
 		return;
 	}
 	if (end != MEMBER_END_DONE && j->state != SCHED_JOB_STOPPING)
-		sched_order_stop(s, j, STOP_NOW, SCHED_STOP_MEMBER_LOST);
+		sched_stop_job(s, j, STOP_NOW, SCHED_STOP_MEMBER_LOST);
 }
 
 /* Removes a job that has ended; its index may be reused. */
-void sched_forget(struct sched *s, job_ref job)
+void sched_remove_job(struct sched *s, job_ref job)
 {
 	struct sched_job *j = sched_job(s, job);
 
@@ -725,7 +725,7 @@
 /* Frees the contents of an action. */
 void sched_action_clear(struct sched_action *a)
 {
-	if (a->kind == SCHED_END)
+	if (a->kind == SCHED_ACTION_END)
 		free(a->end.detail);
 }
 
@@ -736,13 +736,13 @@
 }
 
 /* Returns the number of queued jobs. */
-size_t sched_queued(const struct sched *s)
+size_t sched_queued_count(const struct sched *s)
 {
 	return (size_t)g_tree_nnodes(s->queue);
 }
 
 /* Returns the number of jobs that have resources allocated. */
-size_t sched_running(const struct sched *s)
+size_t sched_running_count(const struct sched *s)
 {
 	return s->active->len;
 }
--- a/packages/coordination/sched.h
+++ b/packages/coordination/sched.h
@@ -60,18 +60,18 @@
 
 /* Reason why a job is waiting or was placed. */
 enum sched_reason {
-	SCHED_WHY_NEW,
-	SCHED_WHY_GUARANTEE,
-	SCHED_WHY_CLAIM,
-	SCHED_WHY_FREE,
-	SCHED_WHY_BACKFILL,
-	SCHED_WHY_BLOCKED,
-	SCHED_WHY_BEHIND,
-	SCHED_WHY_QUOTA,
-	SCHED_WHY_BACKOFF,
-	SCHED_WHY_UNSTOPPABLE,
-	SCHED_WHY_SETTLING,
-	SCHED_WHY_PREEMPTED
+	SCHED_REASON_NEW,
+	SCHED_REASON_GUARANTEE,
+	SCHED_REASON_CLAIM,
+	SCHED_REASON_FREE,
+	SCHED_REASON_BACKFILL,
+	SCHED_REASON_BLOCKED,
+	SCHED_REASON_BEHIND,
+	SCHED_REASON_QUOTA,
+	SCHED_REASON_BACKOFF,
+	SCHED_REASON_UNSTOPPABLE,
+	SCHED_REASON_SETTLING,
+	SCHED_REASON_PREEMPTED
 };
 
 /* The part of a job that runs on one worker. */
@@ -80,7 +80,7 @@
 	uint32_t accelerators;
 	struct sched_res need;
 	/* Resources that cannot be reclaimed from the member. */
-	struct sched_res firm;
+	struct sched_res committed;
 	bool ended;
 	enum member_end end;
 };
@@ -97,9 +97,9 @@
 	/* Borrowers that are stopped for the job. */
 	uint32_t victims;
 	/* Jobs ahead in the queue. */
-	uint32_t before;
+	uint32_t jobs_ahead;
 	/* Time by which the job is expected to be placed; 0 if unknown. */
-	int64_t expected;
+	int64_t expected_at;
 };
 
 struct sched_job {
@@ -116,7 +116,7 @@
 	bool idempotent;
 	bool checkpoint;
 	/* Run time that the caller declared; 0 if none. */
-	int64_t declared;
+	int64_t declared_run_time;
 	int64_t deadline;
 	int64_t submitted;
 	void *owner;
@@ -157,9 +157,9 @@
 };
 
 enum sched_action_kind {
-	SCHED_PLACE,
-	SCHED_STOP,
-	SCHED_END
+	SCHED_ACTION_PLACE,
+	SCHED_ACTION_STOP,
+	SCHED_ACTION_END
 };
 /* An action for the caller to carry out; stop and end belong to the kinds of these names. */
 struct sched_action {
@@ -208,14 +208,14 @@
 void sched_reserve_failed(struct sched *s, int64_t now, job_ref job, uint32_t attempt);
 void sched_member_ended(struct sched *s, int64_t now, job_ref job, uint32_t attempt,
 	uint32_t member, enum member_end end, int64_t saved);
-void sched_forget(struct sched *s, job_ref job);
+void sched_remove_job(struct sched *s, job_ref job);
 void sched_run(struct sched *s, int64_t now);
 bool sched_next(struct sched *s, struct sched_action *out);
 void sched_action_clear(struct sched_action *a);
 struct sched_job *sched_job(struct sched *s, job_ref job);
 const struct sched_counts *sched_counts(const struct sched *s);
-size_t sched_queued(const struct sched *s);
-size_t sched_running(const struct sched *s);
+size_t sched_queued_count(const struct sched *s);
+size_t sched_running_count(const struct sched *s);
 void sched_set_settling(struct sched *s, bool settling);
 
 /* sched-view.c: read-only views for operators and tests. */
@@ -248,9 +248,9 @@
 	int64_t oldest;
 	double fragmentation;
 };
-size_t sched_orgs(const struct sched *s);
+size_t sched_org_count(const struct sched *s);
 void sched_org_view(const struct sched *s, uint32_t org, struct sched_org_view *out);
-size_t sched_workers(const struct sched *s);
+size_t sched_worker_count(const struct sched *s);
 void sched_worker_view(const struct sched *s, uint32_t worker, struct sched_worker_view *out);
 void sched_free_view(const struct sched *s, int64_t now, struct sched_free_view *out);
 const char *sched_worker_name(const struct sched *s, uint32_t worker);
--- a/packages/daemon/agent-host.c
+++ b/packages/daemon/agent-host.c
@@ -64,7 +64,7 @@
 	}
 	a->host.store_up = up;
 	if (a->host.coord != NULL)
-		coord_store_state(a->host.coord, loop_now(a->p->loop), up);
+		coord_set_store_up(a->host.coord, loop_now(a->p->loop), up);
 }
 
 /* Renews the lease. Runs on the pool. */
@@ -246,7 +246,7 @@
 	h->config_checked_at = now - CONFIG_POLL_PERIOD_NS;
 	h->store_up = true;
 	h->write_retry_at = 0;
-	coord_begin(h->coord, now, clock_wall(loop_clock(a->p->loop)), h->term.term,
+	coord_start_term(h->coord, now, clock_wall(loop_clock(a->p->loop)), h->term.term,
 		h->term.roster, records, NULL);
 	a->coord_timer = loop_timer_add(
 		a->p->loop, COORD_TICK_PERIOD_NS, COORD_TICK_PERIOD_NS, host_tick, a);
--- a/packages/daemon/agent-link.c
+++ b/packages/daemon/agent-link.c
@@ -200,8 +200,8 @@
 {
 	struct msg m = {.kind = MSG_BEAT,
 		.beat = {.term = agent_core_term(a->core),
-			.members = (uint32_t)agent_core_live(a->core),
-			.busy_accelerators = agent_core_busy(a->core),
+			.members = (uint32_t)agent_core_live_members(a->core),
+			.busy_accelerators = agent_core_busy_accelerators(a->core),
 			.usage_percent = agent_core_upstream(a->core)->usage_percent,
 			.config_revision = a->link.config_revision}};
 
--- a/packages/daemon/agent-upstream.c
+++ b/packages/daemon/agent-upstream.c
@@ -176,10 +176,10 @@
 	int64_t now = loop_now(a->p->loop);
 
 	if (n->leave) {
-		agent_core_leave(a->core, now);
+		agent_core_upstream_leaving(a->core, now);
 	} else {
 		n->upstream.expires = now + n->ttl;
-		agent_core_announce(a->core, now, &n->upstream);
+		agent_core_upstream_announced(a->core, now, &n->upstream);
 	}
 	free(n->upstream.addr);
 	free(n->upstream.worker);
--- a/packages/daemon/agent.c
+++ b/packages/daemon/agent.c
@@ -105,7 +105,7 @@
 	if (b->job == NULL)
 		return;
 	if (gang_peer_addr(a, peer) != NULL) {
-		agent_core_gang_answer(a->core, loop_now(a->p->loop), b);
+		agent_core_gang_beat_reply(a->core, loop_now(a->p->loop), b);
 		return;
 	}
 	reply = g_strdup_printf("#%" G_GUINT64_FORMAT, peer);
@@ -161,7 +161,7 @@
 	if (addr != NULL)
 		g_hash_table_remove(a->gang_peers, addr);
 	if (g_hash_table_remove(a->coord_peers, &peer) && a->host.coord != NULL)
-		coord_closed(a->host.coord, loop_now(a->p->loop), peer);
+		coord_peer_closed(a->host.coord, loop_now(a->p->loop), peer);
 	if (link_owns_peer(a, peer))
 		link_peer_closed(a, loop_now(a->p->loop));
 }
@@ -177,10 +177,10 @@
 		return;
 	/* Jobs that an agent rejected are queued again; their return takes until the next tick.
 	 */
-	if (coord_return_waiting(a->host.coord) > 0)
+	if (coord_return_queued(a->host.coord) > 0)
 		return;
 	if (!coord_has_successor(a->host.coord, a->name) &&
-		(coord_open_jobs(a->host.coord) > 0 || agent_core_unacked(a->core) > 0))
+		(coord_open_jobs(a->host.coord) > 0 || agent_core_unacked_ends(a->core) > 0))
 		return;
 	host_release(a);
 	host_step_down(a, "this process is stopping");
@@ -258,7 +258,7 @@
 	agent_core_drain(a->core);
 	agent_core_report(a->core, now);
 	if (a->host.coord != NULL)
-		coord_return_waiting(a->host.coord);
+		coord_return_queued(a->host.coord);
 }
 
 /*
@@ -267,14 +267,15 @@
  */
 bool agent_idle(const struct agent *a)
 {
-	return a->host.coord == NULL && agent_core_live(a->core) == 0 &&
-	       agent_core_unacked(a->core) == 0;
+	return a->host.coord == NULL && agent_core_live_members(a->core) == 0 &&
+	       agent_core_unacked_ends(a->core) == 0;
 }
 
 char *agent_describe_pending(const struct agent *a)
 {
 	return g_strdup_printf("coordinates=%d running=%zu unacknowledged=%zu",
-		a->host.coord != NULL, agent_core_live(a->core), agent_core_unacked(a->core));
+		a->host.coord != NULL, agent_core_live_members(a->core),
+		agent_core_unacked_ends(a->core));
 }
 
 /* Stops at once and frees the agent, releasing the lease if it coordinates. */
--- a/packages/daemon/daemon.h
+++ b/packages/daemon/daemon.h
@@ -22,7 +22,7 @@
 void process_stop_pool(struct process *p);
 void process_clear(struct process *p);
 /* Returns a signalfd for SIGTERM, SIGINT and, if reload is set, SIGHUP; -1 on failure. */
-int process_open_signals(bool reload);
+int process_open_signalfd(bool reload);
 
 /* agent.c: runs next to an upstream; one agent of each cell is its coordinator. */
 struct agent;
--- a/packages/daemon/main.c
+++ b/packages/daemon/main.c
@@ -151,7 +151,7 @@
 /* Runs entry, agent or standalone until it is stopped; returns the exit code. */
 static int run_own_role(enum daemon_role role, struct options *o)
 {
-	struct program p = {.signal_fd = process_open_signals(false)};
+	struct program p = {.signal_fd = process_open_signalfd(false)};
 	g_autoptr(GError) err = NULL;
 	bool ok = process_init(&p.process, o, &err) && open_store(&p, role, &err);
 
--- a/packages/daemon/process.c
+++ b/packages/daemon/process.c
@@ -49,7 +49,7 @@
 }
 
 /* Blocks the signals that the loop handles and returns a signalfd for them; ignores SIGPIPE. */
-int process_open_signals(bool reload)
+int process_open_signalfd(bool reload)
 {
 	sigset_t set;
 
--- a/packages/daemon/wl-agent.c
+++ b/packages/daemon/wl-agent.c
@@ -115,7 +115,7 @@
 	struct wl_agent *a = arg;
 
 	link_drop(a, "the worker has seen a higher term");
-	wl_worker_follow(a->worker, 0);
+	wl_worker_set_term(a->worker, 0);
 }
 
 /* Connect to the coordinator at an address. */
@@ -194,7 +194,7 @@
 		if (strcmp(it->key, KEY_TERM) == 0) {
 			a->term_revision = it->revision;
 			a->term_stored = term_of(it);
-		} else if (strcmp(it->key, KEY_LEAD) == 0 && it->revision > 0) {
+		} else if (strcmp(it->key, KEY_COORDINATOR_ADDR) == 0 && it->revision > 0) {
 			g_autofree char *addr = g_strndup(it->value.data, it->value.len);
 
 			dial(a, addr);
@@ -214,10 +214,11 @@
 	g_autofree char *term = g_strdup_printf("%" PRIu64, a->term_stored + 1);
 	struct kv_txn t = {.expect_len = 2, .write_len = 2};
 
-	t.expect[0] = (struct kv_expect){KEY_LEAD, 0};
+	t.expect[0] = (struct kv_expect){KEY_COORDINATOR_ADDR, 0};
 	t.expect[1] = (struct kv_expect){KEY_TERM, a->term_revision};
 	t.write[0] = (struct kv_write){KEY_TERM, term, strlen(term), 0};
-	t.write[1] = (struct kv_write){KEY_LEAD, a->addr, strlen(a->addr), a->lease};
+	t.write[1] =
+		(struct kv_write){KEY_COORDINATOR_ADDR, a->addr, strlen(a->addr), a->lease};
 	a->asking = true;
 	a->asked = now_of(a);
 	kv_commit(a->p->kv, &t, campaigned, a);
@@ -270,8 +271,8 @@
 
 	if (a->stopping)
 		return;
-	t.expect[0] = (struct kv_expect){KEY_LEAD, lead_revision};
-	t.remove[0] = KEY_LEAD;
+	t.expect[0] = (struct kv_expect){KEY_COORDINATOR_ADDR, lead_revision};
+	t.remove[0] = KEY_COORDINATOR_ADDR;
 	a->asking = true;
 	a->asked = now_of(a);
 	kv_commit(a->p->kv, &t, cleared, a);
@@ -311,7 +312,7 @@
 		return;
 	a->asking = true;
 	a->asked = now_of(a);
-	kv_get(a->p->kv, KEY_LEAD, KV_READ_EXACT, lead_read, a);
+	kv_get(a->p->kv, KEY_COORDINATOR_ADDR, KV_READ_EXACT, lead_read, a);
 }
 
 /* Whether there is no coordinator, or one whose term the store has not confirmed for long. */
@@ -377,10 +378,10 @@
 	a->term = b->term;
 	a->heard = now_of(a);
 	a->term_age = (int64_t)b->age_ms * NSEC_PER_MSEC;
-	wl_worker_follow(a->worker, b->term);
-	wl_worker_ordered(a->worker, b->ordinal);
+	wl_worker_set_term(a->worker, b->term);
+	wl_worker_set_start_ordinal(a->worker, b->ordinal);
 	if (b->echo_ns != 0)
-		wl_worker_authority(
+		wl_worker_set_authority(
 			a->worker, (int64_t)b->echo_ns - a->term_age + AUTHORITY_MAX);
 	if (b->stopping) {
 		link_drop(a, "it stops");
@@ -405,7 +406,7 @@
 		wl_worker_pace(a->worker, &m->pace);
 		break;
 	case WL_MSG_STORED:
-		wl_worker_stored(a->worker, &m->stored);
+		wl_worker_ack_ends(a->worker, &m->stored);
 		break;
 	case WL_MSG_HELLO:
 	case WL_MSG_REPORT:
@@ -486,7 +487,7 @@
 	struct wl_agent *a = arg;
 
 	if (a->coord != NULL)
-		wl_coord_closed(a->coord, peer);
+		wl_coord_peer_closed(a->coord, peer);
 	if (peer == a->peer && peer != PEER_NONE) {
 		link_drop(a, why != NULL ? why->message : "closed");
 		a->asked = 0;
--- a/packages/daemon/wl-config-feed.c
+++ b/packages/daemon/wl-config-feed.c
@@ -9,7 +9,7 @@
  * the revision has changed, the reply holds the new document.
  */
 
-/* A caller of config_feed_prove that waits for a check sent at or after since. */
+/* A caller of config_feed_refresh that waits for a check sent at or after since. */
 struct waiter {
 	int64_t since;
 	loop_fn *fn;
@@ -45,7 +45,7 @@
 	return f->verified_at == 0 ? INT64_MAX : loop_now(f->p->loop) - f->verified_at;
 }
 
-int64_t config_feed_proved(const struct config_feed *f)
+int64_t config_feed_verified_at(const struct config_feed *f)
 {
 	return f->verified_at;
 }
@@ -76,7 +76,7 @@
 	wl_config_free(old);
 }
 
-void config_feed_offer(struct config_feed *f, const struct kv_result *r)
+void config_feed_observe(struct config_feed *f, const struct kv_result *r)
 {
 	if (r->status == KV_OK)
 		f->verified_at = MAX(f->verified_at, r->sent);
@@ -117,7 +117,7 @@
 		config_feed_free(f);
 		return;
 	}
-	config_feed_offer(f, r);
+	config_feed_observe(f, r);
 	if (ok && f->store_lost)
 		event_log(EV_STORE_BACK, "gap_ms=%" PRId64,
 			(loop_now(f->p->loop) - f->check_sent_at) / NSEC_PER_MSEC);
@@ -156,7 +156,7 @@
 		check_revision(f);
 }
 
-void config_feed_prove(struct config_feed *f, int64_t since, loop_fn *fn, void *arg)
+void config_feed_refresh(struct config_feed *f, int64_t since, loop_fn *fn, void *arg)
 {
 	struct waiter w = {.since = since, .fn = fn, .arg = arg};
 
--- a/packages/daemon/wl-coord-inbox.c
+++ b/packages/daemon/wl-coord-inbox.c
@@ -255,7 +255,7 @@
 		const char *node = r->items[i].key + strlen(KEY_NODE);
 
 		record_writer_add_stored_node(c->records, node);
-		wl_node_expect(c->wl, loop_now(c->p->loop), node);
+		wl_node_await_report(c->wl, loop_now(c->p->loop), node);
 	}
 	if (r->more && r->items_len > 0)
 		list_nodes(c, r->items[r->items_len - 1].key);
--- a/packages/daemon/wl-coord.c
+++ b/packages/daemon/wl-coord.c
@@ -147,7 +147,7 @@
  */
 void coord_request_pass(struct wl_coord *c)
 {
-	if (wl_wants_pass(c->wl))
+	if (wl_pass_needed(c->wl))
 		schedule_pass(c, MAX(c->pass_ended + c->pass_pause - loop_now(c->p->loop), 0));
 }
 
@@ -159,7 +159,7 @@
 		struct wl_msg msg = {.kind = WL_MSG_STORED, .stored.term = c->term};
 		const char *life;
 
-		if (!wl_node_stored(c->wl, agent->node, &life, &msg.stored.number))
+		if (!wl_node_ends_stored(c->wl, agent->node, &life, &msg.stored.number))
 			continue;
 		msg.stored.life = (char *)life;
 		send_to_node(c, agent->node, &msg);
@@ -174,7 +174,7 @@
 			.age_ms = (uint32_t)MIN(term_age(c) / NSEC_PER_MSEC, UINT32_MAX),
 			.stopping = c->stopping,
 			.echo_ns = echo,
-			.ordinal = wl_ordinal(c->wl)}};
+			.ordinal = wl_last_ordinal(c->wl)}};
 
 	send_to_node(c, agent->node, &msg);
 }
@@ -290,11 +290,11 @@
 	if (agent->has_pending_report)
 		wl_msg_clear(&agent->pending_report);
 	agent->has_pending_report = false;
-	wl_node_silent(c->wl, loop_now(c->p->loop), agent->node);
+	wl_node_unreachable(c->wl, loop_now(c->p->loop), agent->node);
 	coord_request_pass(c);
 }
 
-void wl_coord_closed(struct wl_coord *c, peer_id peer)
+void wl_coord_peer_closed(struct wl_coord *c, peer_id peer)
 {
 	for (guint i = 0; i < c->agents->len; i++) {
 		struct agent_conn *agent = c->agents->pdata[i];
@@ -351,7 +351,7 @@
 	}
 	if (!c->loaded || c->lost)
 		return;
-	gone_nodes = wl_nodes_gone(c->wl, now);
+	gone_nodes = wl_nodes_expired(c->wl, now);
 	for (guint i = 0; i < gone_nodes->len; i++) {
 		record_writer_set_node(c->records, gone_nodes->pdata[i], false);
 		coord_request_pass(c);
@@ -406,9 +406,9 @@
 		.remote_penalty = s->remote_penalty,
 		.restore = s->restore,
 		.reclaim_max = s->reclaim_max,
-		.silence_max = AUTHORITY_MAX + s->hold_max + s->hold_max / 50 + LEASE_MARGIN,
-		.retention = s->ended_visible + RETENTION_MARGIN};
-	const struct wl_out out = {.start = order_start,
+		.silence_max = AUTHORITY_MAX + s->lease_max + s->lease_max / 50 + LEASE_MARGIN,
+		.retention = s->ended_retention + RETENTION_MARGIN};
+	const struct wl_callbacks out = {.start = order_start,
 		.stop = order_stop,
 		.pace = order_pace,
 		.dirty = on_job_dirty,
--- a/packages/daemon/wl-daemon.h
+++ b/packages/daemon/wl-daemon.h
@@ -8,13 +8,13 @@
 #include "workload.h"
 
 /* Store keys. The coordinator watches the inbox prefix, under which entries write. */
-#define KEY_INBOX    "dp/in/"
-#define KEY_JOB	     "dp/in/job/"
-#define KEY_CANCEL   "dp/in/cancel/"
-#define KEY_TERM     "dp/in/term"
-#define KEY_PROGRESS "dp/state/"
-#define KEY_LEAD     "dp/lead"
-#define KEY_NODE     "dp/node/"
+#define KEY_INBOX	     "dp/in/"
+#define KEY_JOB		     "dp/in/job/"
+#define KEY_CANCEL	     "dp/in/cancel/"
+#define KEY_TERM	     "dp/in/term"
+#define KEY_PROGRESS	     "dp/state/"
+#define KEY_COORDINATOR_ADDR "dp/lead"
+#define KEY_NODE	     "dp/node/"
 
 /* Resources shared by the parts of a process, whatever its role. */
 struct wl_process {
@@ -34,17 +34,17 @@
 /* Time since the last successful verification; INT64_MAX before the first. */
 int64_t config_feed_age(const struct config_feed *f);
 /* When the last successful verification was sent, on the loop's clock; 0 before the first. */
-int64_t config_feed_proved(const struct config_feed *f);
+int64_t config_feed_verified_at(const struct config_feed *f);
 /*
  * Takes the result of a store call that was conditional on the configuration: a success
  * verifies it, a conflict may hold a newer document.
  */
-void config_feed_offer(struct config_feed *f, const struct kv_result *r);
+void config_feed_observe(struct config_feed *f, const struct kv_result *r);
 /*
  * Makes sure that the configuration was verified by a request sent at or after since. fn is
  * called once it was, at once if it has been already, or when the store cannot be reached.
  */
-void config_feed_prove(struct config_feed *f, int64_t since, loop_fn *fn, void *arg);
+void config_feed_refresh(struct config_feed *f, int64_t since, loop_fn *fn, void *arg);
 
 /* wl-detour.c: relays an entry's store calls through the coordinator's process. */
 struct wl_detour;
@@ -72,24 +72,24 @@
 	int64_t arrived;
 	int64_t deadline;
 	unsigned int tries;
-	bool unsure; /* a write got no usable reply; the job may have been stored */
+	bool outcome_unknown; /* a write got no usable reply; the job may have been stored */
 };
 struct wl_entry {
 	struct wl_process *p;
 	struct config_feed *feed;
-	struct http_server *callers;
+	struct http_server *caller_server;
 	struct http_server *ready_server;
 	struct loop_timer *timer;
 	unsigned int open; /* calls not answered yet */
 	bool ready;
 	bool stopping;
 	int64_t stop_at;
-	/* Number of jobs per queue that have not started, as of depth_at. */
-	GHashTable *depth;
-	GHashTable *depth_next;
-	int64_t depth_at;
-	bool depth_asked;
-	GPtrArray *depth_waiters;
+	/* Number of jobs per queue that have not started, as of queue_depth_at. */
+	GHashTable *queue_depth;
+	GHashTable *queue_depth_next;
+	int64_t queue_depth_at;
+	bool queue_depth_reading;
+	GPtrArray *queue_depth_waiters;
 };
 void entry_call_route(struct entry_call *c);
 void entry_call_deny(struct entry_call *c, int status, int retry_after_s, const char *reason);
@@ -108,7 +108,7 @@
 bool wl_coord_idle(const struct wl_coord *c);
 uint64_t wl_coord_term(const struct wl_coord *c);
 void wl_coord_message(struct wl_coord *c, struct peer_net *net, peer_id peer, struct wl_msg *m);
-void wl_coord_closed(struct wl_coord *c, peer_id peer);
+void wl_coord_peer_closed(struct wl_coord *c, peer_id peer);
 
 /* wl-coord-records.c: writes job progress and the list of nodes to the store. */
 struct record_writer;
@@ -146,16 +146,16 @@
 void wl_worker_free(struct wl_worker *w);
 bool wl_worker_idle(const struct wl_worker *w);
 /* Sets the coordinator's term, 0 for none; open starts of another term are dropped. */
-void wl_worker_follow(struct wl_worker *w, uint64_t term);
+void wl_worker_set_term(struct wl_worker *w, uint64_t term);
 /* Start orders up to this ordinal have arrived, or were lost in transit and will not arrive. */
-void wl_worker_ordered(struct wl_worker *w, uint64_t ordinal);
+void wl_worker_set_start_ordinal(struct wl_worker *w, uint64_t ordinal);
 /* Leases may be renewed until this time. */
-void wl_worker_authority(struct wl_worker *w, int64_t until);
+void wl_worker_set_authority(struct wl_worker *w, int64_t until);
 void wl_worker_start(struct wl_worker *w, const struct wl_start_order *o);
 void wl_worker_stop(struct wl_worker *w, const struct wl_stop_order *o);
 void wl_worker_pace(struct wl_worker *w, const struct wl_pace_order *o);
 /* The ends of runs up to this number are stored; the worker may forget them. */
-void wl_worker_stored(struct wl_worker *w, const struct wl_stored *s);
+void wl_worker_ack_ends(struct wl_worker *w, const struct wl_stored *s);
 
 /*
  * How long an agent may renew leases after the store last confirmed the coordinator's term.
--- a/packages/daemon/wl-detour.c
+++ b/packages/daemon/wl-detour.c
@@ -99,7 +99,7 @@
 	if (!d->addr_read_in_flight && now - d->addr_read_sent_at >= ADDR_READ_PERIOD) {
 		d->addr_read_in_flight = true;
 		d->addr_read_sent_at = now;
-		kv_get(d->p->kv, KEY_LEAD, KV_READ_STALE, on_addr_read, d);
+		kv_get(d->p->kv, KEY_COORDINATOR_ADDR, KV_READ_STALE, on_addr_read, d);
 	}
 	/* A connection on which a call expires may be dead without having been reset. */
 	if (expire_calls(d, now) > 0 || (d->peer != PEER_NONE && !d->connected &&
--- a/packages/daemon/wl-entry-job.c
+++ b/packages/daemon/wl-entry-job.c
@@ -113,7 +113,7 @@
 	bool exists = false;
 	int64_t now = loop_now(c->entry->p->loop);
 
-	config_feed_offer(feed, r);
+	config_feed_observe(feed, r);
 	for (size_t i = 0; i < r->items_len; i++) {
 		if (g_str_has_prefix(r->items[i].key, KEY_JOB) && r->items[i].revision > 0)
 			exists = true;
@@ -135,22 +135,22 @@
 		}
 		c->tries++;
 		if (out_of_time(c))
-			entry_call_deny(c, c->unsure ? 504 : 503, RETRY_AFTER_S,
+			entry_call_deny(c, c->outcome_unknown ? 504 : 503, RETRY_AFTER_S,
 				"the configuration keeps changing");
 		else
 			route_again(c);
 		return;
 	case KV_REFUSED:
 	case KV_MISSING:
-		if (!c->unsure) {
+		if (!c->outcome_unknown) {
 			entry_call_deny(c, 503, RETRY_AFTER_S, "the store refuses");
 			return;
 		}
 		break;
 	case KV_UNSURE:
-		if (c->unsure)
+		if (c->outcome_unknown)
 			c->tries = TRIES_MAX;
-		c->unsure = true;
+		c->outcome_unknown = true;
 		break;
 	}
 	c->tries++;
@@ -178,7 +178,7 @@
 	t.expect[1] = (struct kv_expect){job_key, 0};
 	t.write[0] = (struct kv_write){job_key, spec.data, spec.len, 0};
 	t.write[1] = (struct kv_write){state_key, state.data, state.len, 0};
-	t.timeout = c->unsure ? AGAIN_PATIENCE : FIRST_PATIENCE;
+	t.timeout = c->outcome_unknown ? AGAIN_PATIENCE : FIRST_PATIENCE;
 	kv_commit(c->entry->p->kv, &t, submitted, c);
 	bytes_clear(&spec);
 	bytes_clear(&state);
@@ -256,7 +256,7 @@
 {
 	struct entry_call *c = arg;
 
-	config_feed_offer(c->entry->feed, r);
+	config_feed_observe(c->entry->feed, r);
 	if (r->status == KV_OK) {
 		event_log(EV_CANCEL, "job=%s status=200", c->id);
 		answer(c, 200, NULL);
@@ -319,7 +319,7 @@
 /* Answer with the depth of a queue. */
 static void answer_depth(struct entry_call *c)
 {
-	uint64_t n = GPOINTER_TO_SIZE(g_hash_table_lookup(c->entry->depth, c->queue));
+	uint64_t n = GPOINTER_TO_SIZE(g_hash_table_lookup(c->entry->queue_depth, c->queue));
 	AUTOFREE char *body = pf_depth_body(n);
 
 	answer(c, 200, body);
@@ -343,9 +343,9 @@
 			    &wl_progress_fields, &p, it->value.data, it->value.len, NULL))
 			continue;
 		if (p.state == WL_QUEUED && p.queue != NULL) {
-			n = GPOINTER_TO_SIZE(g_hash_table_lookup(e->depth_next, p.queue));
-			g_hash_table_replace(
-				e->depth_next, g_strdup(p.queue), GSIZE_TO_POINTER(n + 1));
+			n = GPOINTER_TO_SIZE(g_hash_table_lookup(e->queue_depth_next, p.queue));
+			g_hash_table_replace(e->queue_depth_next, g_strdup(p.queue),
+				GSIZE_TO_POINTER(n + 1));
 		}
 		fields_clear(&wl_progress_fields, &p);
 	}
@@ -354,17 +354,17 @@
 		ask_depth(e, last);
 		return;
 	}
-	e->depth_asked = false;
+	e->queue_depth_reading = false;
 	if (r->status == KV_OK) {
-		g_hash_table_destroy(e->depth);
-		e->depth = e->depth_next;
-		e->depth_at = loop_now(e->p->loop);
+		g_hash_table_destroy(e->queue_depth);
+		e->queue_depth = e->queue_depth_next;
+		e->queue_depth_at = loop_now(e->p->loop);
 	} else {
-		g_hash_table_destroy(e->depth_next);
+		g_hash_table_destroy(e->queue_depth_next);
 	}
-	e->depth_next = NULL;
-	waiters = g_steal_pointer(&e->depth_waiters);
-	e->depth_waiters = g_ptr_array_new();
+	e->queue_depth_next = NULL;
+	waiters = g_steal_pointer(&e->queue_depth_waiters);
+	e->queue_depth_waiters = g_ptr_array_new();
 	for (guint i = 0; i < waiters->len; i++) {
 		if (r->status == KV_OK)
 			answer_depth(waiters->pdata[i]);
@@ -377,9 +377,10 @@
 /* Count the jobs that have not begun; a cheap read, as the count may be a little old. */
 static void ask_depth(struct wl_entry *e, const char *after)
 {
-	if (e->depth_next == NULL)
-		e->depth_next = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-	e->depth_asked = true;
+	if (e->queue_depth_next == NULL)
+		e->queue_depth_next =
+			g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+	e->queue_depth_reading = true;
 	kv_list(e->p->kv, KEY_PROGRESS, after, KV_READ_STALE, depth_read, e);
 }
 
@@ -388,12 +389,13 @@
 {
 	struct wl_entry *e = c->entry;
 
-	if (e->depth_at != 0 && loop_now(e->p->loop) - e->depth_at < DEPTH_MAX_AGE) {
+	if (e->queue_depth_at != 0 &&
+		loop_now(e->p->loop) - e->queue_depth_at < DEPTH_MAX_AGE) {
 		answer_depth(c);
 		return;
 	}
-	g_ptr_array_add(e->depth_waiters, c);
-	if (!e->depth_asked)
+	g_ptr_array_add(e->queue_depth_waiters, c);
+	if (!e->queue_depth_reading)
 		ask_depth(e, NULL);
 }
 
@@ -456,7 +458,7 @@
 	struct config_feed *feed = c->entry->feed;
 	const struct wl_config *config = config_feed_get(feed);
 
-	if (config == NULL || config_feed_proved(feed) < c->arrived - CONFIG_SLACK) {
+	if (config == NULL || config_feed_verified_at(feed) < c->arrived - CONFIG_SLACK) {
 		entry_call_deny(c, 503, RETRY_AFTER_S, "the configuration cannot be confirmed");
 		return;
 	}
@@ -474,7 +476,7 @@
 {
 	const struct wl_config *config = config_feed_get(c->entry->feed);
 
-	if (store_is_down(c->entry) && !c->unsure) {
+	if (store_is_down(c->entry) && !c->outcome_unknown) {
 		entry_call_deny(c, 503, RETRY_AFTER_S, "the store does not answer");
 		return;
 	}
@@ -484,5 +486,5 @@
 		serve(c, config);
 		return;
 	}
-	config_feed_prove(c->entry->feed, c->arrived - CONFIG_SLACK, proved, c);
+	config_feed_refresh(c->entry->feed, c->arrived - CONFIG_SLACK, proved, c);
 }
--- a/packages/daemon/wl-entry.c
+++ b/packages/daemon/wl-entry.c
@@ -37,14 +37,14 @@
 {
 	struct wl_entry *e = arg;
 	struct entry_call *c = xcalloc(1, sizeof(*c));
-	const char *limit = http_header(r, PF_DEADLINE_FIELD);
+	const char *limit = http_header(r, PF_DEADLINE_HEADER);
 	int64_t given = limit != NULL ? g_ascii_strtoll(limit, NULL, 10) * NSEC_PER_MSEC : 0;
 
 	c->entry = e;
 	c->request = r;
 	c->host = xstrdup(http_header(r, "Host"));
 	c->path = xstrdup(http_path(r));
-	c->key = pf_key_of(http_header(r, "Authorization"));
+	c->key = pf_api_key_parse(http_header(r, "Authorization"));
 	c->arrived = clock_now(loop_clock(e->p->loop));
 	c->deadline = c->arrived +
 		      (given > CALL_MARGIN ? MIN(given - CALL_MARGIN, CALL_LIMIT) : CALL_LIMIT);
@@ -97,19 +97,20 @@
 		.threads = 1};
 	struct wl_entry *e;
 
-	if (p->settings.callers_addr == NULL || p->settings.ready_addr == NULL) {
+	if (p->settings.client_addr == NULL || p->settings.readiness_addr == NULL) {
 		error_set(err, ERR_INVALID, "the settings file names no address for callers");
 		return NULL;
 	}
 	e = xcalloc(1, sizeof(*e));
 	e->p = p;
-	e->depth = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-	e->depth_waiters = g_ptr_array_new();
+	e->queue_depth = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+	e->queue_depth_waiters = g_ptr_array_new();
 	e->feed = config_feed_new(p, CONFIG_PERIOD, on_config, e);
-	e->callers = http_server_new(p->settings.callers_addr, &limits, on_request, e, err);
-	if (e->callers != NULL)
+	e->caller_server =
+		http_server_new(p->settings.client_addr, &limits, on_request, e, err);
+	if (e->caller_server != NULL)
 		e->ready_server =
-			http_server_new(p->settings.ready_addr, &few, on_ready, e, err);
+			http_server_new(p->settings.readiness_addr, &few, on_ready, e, err);
 	if (e->ready_server == NULL) {
 		wl_entry_free(e);
 		return NULL;
@@ -130,7 +131,7 @@
 bool wl_entry_idle(const struct wl_entry *e)
 {
 	return e->stopping && loop_now(e->p->loop) >= e->stop_at && e->open == 0 &&
-	       http_server_open(e->callers) == 0;
+	       http_server_open(e->caller_server) == 0;
 }
 
 /* Free an entry that is idle. */
@@ -138,12 +139,12 @@
 {
 	if (e == NULL)
 		return;
-	http_server_free(e->callers);
+	http_server_free(e->caller_server);
 	http_server_free(e->ready_server);
 	config_feed_free(e->feed);
 	if (e->timer != NULL)
 		loop_timer_del(e->p->loop, e->timer);
-	g_hash_table_destroy(e->depth);
-	g_ptr_array_unref(e->depth_waiters);
+	g_hash_table_destroy(e->queue_depth);
+	g_ptr_array_unref(e->queue_depth_waiters);
 	free(e);
 }
--- a/packages/daemon/wl-process.c
+++ b/packages/daemon/wl-process.c
@@ -134,7 +134,7 @@
 /* Run a role of the platform until it is stopped. */
 int wl_process_run(enum wl_role role, const struct options *o)
 {
-	struct wl_program p = {.signal_fd = process_open_signals(true)};
+	struct wl_program p = {.signal_fd = process_open_signalfd(true)};
 	g_autoptr(GError) err = NULL;
 	bool ok = open_process(&p, o, &err);
 
--- a/packages/daemon/wl-worker-order.c
+++ b/packages/daemon/wl-worker-order.c
@@ -74,7 +74,7 @@
 static void order_answered(struct http_call *c, struct pf_reply *r)
 {
 	((struct worker_call *)c->arg)->worker->calls--;
-	pf_worker_read(c, r);
+	pf_reply_parse(c, r);
 }
 
 /* Free an order's call and its answer. */
@@ -147,19 +147,19 @@
 	switch (k) {
 	case PF_REPLY_OK:
 		return WL_ANSWER_RUNNING;
-	case PF_REPLY_OLD:
+	case PF_REPLY_STALE_ATTEMPT:
 		return WL_ANSWER_REFUSED_OLD;
-	case PF_REPLY_ROOM:
+	case PF_REPLY_NO_CAPACITY:
 		return WL_ANSWER_REFUSED_ROOM;
-	case PF_REPLY_TICKET:
+	case PF_REPLY_INVALID_TICKET:
 		return WL_ANSWER_REFUSED_TICKET;
 	case PF_REPLY_UNHEALTHY:
 		return WL_ANSWER_UNHEALTHY;
 	case PF_REPLY_FENCED:
-	case PF_REPLY_LATE:
-	case PF_REPLY_OTHER_LIFE:
+	case PF_REPLY_DEADLINE_PASSED:
+	case PF_REPLY_OTHER_INSTANCE:
 	case PF_REPLY_REFUSED:
-	case PF_REPLY_NONE:
+	case PF_REPLY_NO_ANSWER:
 		break;
 	}
 	return WL_ANSWER_REFUSED_OTHER;
@@ -206,7 +206,7 @@
  */
 static bool may_have_ended(const struct open_start *s, enum pf_reply_kind k)
 {
-	return k == PF_REPLY_OLD && s->sends > 1;
+	return k == PF_REPLY_STALE_ATTEMPT && s->sends > 1;
 }
 
 /* The worker answered to a start, or not. */
@@ -222,7 +222,7 @@
 	s->calling = false;
 	if (s->dropped) {
 		open_free(s);
-	} else if (r.kind == PF_REPLY_NONE) {
+	} else if (r.kind == PF_REPLY_NO_ANSWER) {
 		start_unanswered(w, s);
 	} else if (may_have_ended(s, r.kind)) {
 		s->unsure = true;
@@ -330,7 +330,7 @@
 	struct pf_reply r;
 
 	order_answered(c, &r);
-	if (r.kind == PF_REPLY_NONE && s->sends < ORDER_SENDS_MAX && wc->term == w->term &&
+	if (r.kind == PF_REPLY_NO_ANSWER && s->sends < ORDER_SENDS_MAX && wc->term == w->term &&
 		!w->freed) {
 		stop_send(w, s);
 	} else {
--- a/packages/daemon/wl-worker-private.h
+++ b/packages/daemon/wl-worker-private.h
@@ -35,13 +35,13 @@
 	bool freed;
 	/* What its last report said; id is NULL before the first. */
 	pthread_mutex_t lock;
-	struct pf_beat beat;
-	struct pf_beat beat_next;
+	struct pf_heartbeat beat;
+	struct pf_heartbeat beat_next;
 	bool beat_posted;
 	int64_t beat_at;
 	bool left;
 	char *life;
-	int64_t born;
+	int64_t instance_started_at;
 	/* Its clock, as of when an answer with it came. */
 	int64_t clock_ms;
 	int64_t clock_at;
--- a/packages/daemon/wl-worker.c
+++ b/packages/daemon/wl-worker.c
@@ -54,15 +54,15 @@
 {
 	if (now_of(w) >= w->authority || w->clock_at == 0)
 		return 0;
-	return worker_clock(w) + w->p->settings.hold_max / NSEC_PER_MSEC;
+	return worker_clock(w) + w->p->settings.lease_max / NSEC_PER_MSEC;
 }
 
 /* Begin another life of the worker: nothing of the last one is open. */
-static void begin_life(struct wl_worker *w, const char *id, int64_t born)
+static void begin_life(struct wl_worker *w, const char *id, int64_t instance_started_at)
 {
 	free(w->life);
-	xasprintf(&w->life, "%s@%" PRId64, id, born);
-	w->born = born;
+	xasprintf(&w->life, "%s@%" PRId64, id, instance_started_at);
+	w->instance_started_at = instance_started_at;
 	w->clock_at = 0;
 	w->ends_stored = 0;
 	w->ends_listed = 0;
@@ -73,8 +73,9 @@
 /* Learn the worker's clock and life from an answer. */
 static void learn(struct wl_worker *w, const struct pf_reply *r)
 {
-	if (r->born != 0 && w->beat.id != NULL && r->born != w->born)
-		begin_life(w, w->beat.id, r->born);
+	if (r->instance_started_at != 0 && w->beat.id != NULL &&
+		r->instance_started_at != w->instance_started_at)
+		begin_life(w, w->beat.id, r->instance_started_at);
 	if (r->clock_ms > 0) {
 		w->clock_ms = r->clock_ms;
 		w->clock_at = now_of(w);
@@ -84,7 +85,7 @@
 /* Pass the worker's state and lists on. */
 static void report(struct wl_worker *w, const struct pf_reply *r)
 {
-	struct wl_report out = w->beat.self;
+	struct wl_report out = w->beat.worker_report;
 
 	out.term = w->term;
 	out.node = w->p->settings.node;
@@ -123,7 +124,7 @@
 
 	w->calls--;
 	w->holding = false;
-	pf_worker_read(c, &r);
+	pf_reply_parse(c, &r);
 	if (w->freed) {
 		wl_worker_free(w);
 	} else {
@@ -164,7 +165,7 @@
 /* Renew the leases and ask for the lists, as long as there is a coordinator. */
 static void hold(struct wl_worker *w)
 {
-	struct pf_hold h = {.fence = w->term,
+	struct pf_lease_renewal h = {.fence = w->term,
 		.ends_stored = ends_to_forget(w),
 		.deadline_ms = worker_lease_deadline(w),
 		.wait_ms = HOLD_WAIT_MS};
@@ -184,12 +185,12 @@
 	w->holding = true;
 	w->hold_covers = worker_covers(w);
 	w->hold_sent = now_of(w);
-	worker_send_call(
-		w, pf_worker_hold(w->p->settings.worker_addr, w->beat.id, &h), NULL, hold_done);
+	worker_send_call(w, pf_worker_renew_leases(w->p->settings.worker_addr, w->beat.id, &h),
+		NULL, hold_done);
 }
 
 /* Ends up to a number are stored: the worker may forget them with the next call. */
-void wl_worker_stored(struct wl_worker *w, const struct wl_stored *s)
+void wl_worker_ack_ends(struct wl_worker *w, const struct wl_stored *s)
 {
 	if (s->term == w->term && w->life != NULL && g_strcmp0(s->life, w->life) == 0)
 		w->ends_stored = MAX(w->ends_stored, s->number);
@@ -201,7 +202,7 @@
 }
 
 /* Follow a coordinator; 0 for none. */
-void wl_worker_follow(struct wl_worker *w, uint64_t term)
+void wl_worker_set_term(struct wl_worker *w, uint64_t term)
 {
 	if (w->term == term)
 		return;
@@ -212,13 +213,13 @@
 	hold(w);
 }
 
-void wl_worker_ordered(struct wl_worker *w, uint64_t ordinal)
+void wl_worker_set_start_ordinal(struct wl_worker *w, uint64_t ordinal)
 {
 	w->last_ordinal = MAX(w->last_ordinal, ordinal);
 }
 
 /* Renew leases until then. */
-void wl_worker_authority(struct wl_worker *w, int64_t until)
+void wl_worker_set_authority(struct wl_worker *w, int64_t until)
 {
 	bool had = now_of(w) < w->authority;
 
@@ -238,15 +239,15 @@
 	left = w->beat_next.service == NULL;
 	if (!left) {
 		if (w->life == NULL || g_strcmp0(w->beat.id, w->beat_next.id) != 0 ||
-			w->beat_next.born != w->born)
-			begin_life(w, w->beat_next.id, w->beat_next.born);
-		pf_beat_clear(&w->beat);
+			w->beat_next.instance_started_at != w->instance_started_at)
+			begin_life(w, w->beat_next.id, w->beat_next.instance_started_at);
+		pf_heartbeat_clear(&w->beat);
 		w->beat = w->beat_next;
 		memset(&w->beat_next, 0, sizeof(w->beat_next));
 		w->left = false;
 	} else if (g_strcmp0(w->beat.id, w->beat_next.id) == 0) {
 		w->left = true;
-		pf_beat_clear(&w->beat_next);
+		pf_heartbeat_clear(&w->beat_next);
 	}
 	pthread_mutex_unlock(&w->lock);
 	w->beat_at = now_of(w);
@@ -265,18 +266,19 @@
 static void on_beat(struct http_request *r, void *arg)
 {
 	struct wl_worker *w = arg;
-	struct pf_beat b;
-	enum pf_beat_kind k = pf_beat_parse(http_method(r), http_path(r), http_body(r), &b);
+	struct pf_heartbeat b;
+	enum pf_heartbeat_kind k =
+		pf_heartbeat_parse(http_method(r), http_path(r), http_body(r), &b);
 	bool post;
 
-	if (k == PF_BEAT_UNREADABLE) {
+	if (k == PF_HEARTBEAT_INVALID) {
 		event_log(EV_BAD_INPUT, "from=worker what=\"%s %s\"", http_method(r),
 			http_path(r));
 		http_reply(r, 400, NULL, "", 0);
 		return;
 	}
 	pthread_mutex_lock(&w->lock);
-	pf_beat_clear(&w->beat_next);
+	pf_heartbeat_clear(&w->beat_next);
 	w->beat_next = b;
 	post = !w->beat_posted;
 	w->beat_posted = true;
@@ -328,8 +330,8 @@
 	w->server = NULL;
 	if (w->calls > 0)
 		return;
-	pf_beat_clear(&w->beat);
-	pf_beat_clear(&w->beat_next);
+	pf_heartbeat_clear(&w->beat);
+	pf_heartbeat_clear(&w->beat_next);
 	free(w->life);
 	g_ptr_array_unref(w->open);
 	free(w);
--- a/packages/standin/standin-platform.c
+++ b/packages/standin/standin-platform.c
@@ -76,7 +76,7 @@
 	char *app;
 	char *control;
 	struct http_server *server;
-	int64_t born;
+	int64_t instance_started_at;
 	int64_t sequence;
 	int64_t next_heartbeat;
 	int64_t lease_until;
@@ -200,7 +200,8 @@
 						       (int)(now_ms() / 20 % 100), 0));
 	}
 	return json_pack("{s:I,s:I,s:o,s:O}", "clock_ms", (json_int_t)now_ms(), "born",
-		(json_int_t)w->born, "running", running, "finished", w->finished);
+		(json_int_t)w->instance_started_at, "running", running, "finished",
+		w->finished);
 }
 
 /* Answers a call to a worker; a mute worker answers 500 without a body. */
@@ -366,7 +367,7 @@
 /* Resets a worker to the state of a new instance. */
 static void worker_crash(struct worker *w)
 {
-	w->born = now_ms();
+	w->instance_started_at = now_ms();
 	w->fence = 0;
 	w->last_end = 0;
 	w->lease_until = 0;
@@ -701,8 +702,9 @@
 	AUTOFREE char *url = NULL;
 	json_t *o = json_pack("{s:s,s:s,s:s,s:I,s:I,s:{s:i,s:i,s:i},s:[s,s]}", "service",
 		"proofing", "zone", "z1", "state", "ready", "sequence",
-		(json_int_t)++w->sequence, "born", (json_int_t)w->born, "capacity", "cpu",
-		32000, "task_memory_mb", 64000, "gpu", ACCELERATORS, "labels", "a", "r1-1");
+		(json_int_t)++w->sequence, "born", (json_int_t)w->instance_started_at,
+		"capacity", "cpu", 32000, "task_memory_mb", 64000, "gpu", ACCELERATORS,
+		"labels", "a", "r1-1");
 	struct http_call *c;
 
 	xasprintf(&url, "http://%s/v1/instances/%s", w->control, w->name);
@@ -762,7 +764,7 @@
 	w->unacked_ends = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	w->last_attempts = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	w->finished = json_array();
-	w->born = now_ms();
+	w->instance_started_at = now_ms();
 	w->server = http_server_new(w->app, limits, on_worker_request, w, NULL);
 	if (w->server == NULL) {
 		fprintf(stderr, "standin-platform: cannot listen on %s\n", w->app);
--- a/packages/workload/wl-estimate.c
+++ b/packages/workload/wl-estimate.c
@@ -41,22 +41,22 @@
 {
 	struct wl_run_stats *stats;
 
-	if (w->learned == NULL)
-		w->learned =
+	if (w->run_stats == NULL)
+		w->run_stats =
 			g_hash_table_new_full(g_str_hash, g_str_equal, NULL, run_stats_free);
-	stats = g_hash_table_lookup(w->learned, queue);
+	stats = g_hash_table_lookup(w->run_stats, queue);
 	if (stats != NULL)
 		return stats;
 	stats = xcalloc(1, sizeof(*stats));
 	stats->queue = xstrdup(queue);
 	stats->variance = RUN_TIME_VARIANCE_PRIOR;
 	stats->estimate_variance = ESTIMATE_VARIANCE_PRIOR;
-	g_hash_table_insert(w->learned, stats->queue, stats);
+	g_hash_table_insert(w->run_stats, stats->queue, stats);
 	return stats;
 }
 
 /* Records the run time of a completed run that did not resume from a checkpoint. */
-void learn_run(struct wl_task *t, int64_t duration)
+void run_stats_record(struct wl_task *t, int64_t duration)
 {
 	const struct wl_step *s = t->unit->step;
 	struct wl_run_stats *stats = run_stats_get(t->unit->job->wl, t->unit->job->spec.queue);
@@ -83,8 +83,8 @@
 static int64_t combine_estimates(const struct wl_job *j, const struct wl_step *s)
 {
 	const struct wl_run_stats *stats =
-		j->wl->learned != NULL ? g_hash_table_lookup(j->wl->learned, j->spec.queue)
-				       : NULL;
+		j->wl->run_stats != NULL ? g_hash_table_lookup(j->wl->run_stats, j->spec.queue)
+					 : NULL;
 	double ms = s->estimate_ms > 0 ? s->estimate_ms : ESTIMATE_DEFAULT_MS;
 
 	if (stats != NULL && stats->runs > 0) {
--- a/packages/workload/wl-headroom.c
+++ b/packages/workload/wl-headroom.c
@@ -14,7 +14,7 @@
 #define HEADROOM_SHARE_MAX 0.4
 
 /* Updates the average size of urgent jobs, in accelerators of the first step. */
-void headroom_note_job(struct wl *w, const struct wl_job *j)
+void headroom_record_job(struct wl *w, const struct wl_job *j)
 {
 	double size = 0;
 
--- a/packages/workload/wl-health.c
+++ b/packages/workload/wl-health.c
@@ -34,7 +34,7 @@
 }
 
 /* Records a run's reported progress. */
-void task_progress(struct wl_task *t, int64_t now, uint32_t percent)
+void task_record_progress(struct wl_task *t, int64_t now, uint32_t percent)
 {
 	if (t->base_at == 0) {
 		bool resumed = *t->checkpoint != '\0';
@@ -97,8 +97,8 @@
 			continue;
 		}
 		for (int i = 0; i < STALL_FAILURES; i++)
-			node_strike(n, now);
-		t->avoid = n;
+			node_record_failure(n, now);
+		t->avoid_node = n;
 		task_stop(t, now, "the run is stalled", NULL);
 	}
 }
--- a/packages/workload/wl-job.c
+++ b/packages/workload/wl-job.c
@@ -18,9 +18,9 @@
 }
 
 /* What one task of a step takes; a filler's cores are not reserved. */
-struct wl_need task_need(const struct wl_step *s)
+struct wl_resources task_need(const struct wl_step *s)
 {
-	return (struct wl_need){.cores_m = s->filler ? 0 : s->cores_m,
+	return (struct wl_resources){.cores_m = s->filler ? 0 : s->cores_m,
 		.memory_mb = s->memory_mb,
 		.accelerators = s->accelerators};
 }
@@ -86,7 +86,7 @@
 }
 
 /* Open the occurrences that are due. */
-void job_open_due(struct wl_job *j, int64_t now, int64_t wall)
+void job_open_due_occurrences(struct wl_job *j, int64_t now, int64_t wall)
 {
 	while (!wl_state_ended(j->state) && j->occurrences_len < occurrences_of(j) &&
 		due_at(j, j->occurrences_len) <= wall)
@@ -94,7 +94,7 @@
 }
 
 /* Whether all steps that a unit waits for are done. */
-bool unit_turn(const struct wl_unit *u)
+bool unit_dependencies_met(const struct wl_unit *u)
 {
 	const struct wl_unit *units = u->job->occurrences[u->occurrence];
 
@@ -106,7 +106,7 @@
 }
 
 /* Take the terms of the queue from the configuration. */
-void job_refresh(struct wl_job *j)
+void job_update_settings(struct wl_job *j)
 {
 	const struct wl_queue *q = wl_config_queue(j->wl->config, j->spec.queue);
 
@@ -140,10 +140,10 @@
 	const struct wl_node *n = node_find(t->unit->job->wl, m->node);
 
 	t->attempt = MAX(t->attempt, m->attempt);
-	if (n == NULL || !n->expected || t->phase != TASK_WAITING)
+	if (n == NULL || !n->awaiting_report || t->phase != TASK_WAITING)
 		return;
-	t->phase = TASK_HELD;
-	t->held_by = n;
+	t->phase = TASK_UNCONFIRMED;
+	t->unconfirmed_node = n;
 	t->unit->waiting--;
 }
 
@@ -155,7 +155,7 @@
 	if (m->occurrence >= j->occurrences_len || m->step >= j->spec.steps_len)
 		return;
 	u = &j->occurrences[m->occurrence][m->step];
-	if (m->index == WL_STEP_WHOLE) {
+	if (m->index == WL_INDEX_GANG) {
 		u->failures = m->failures;
 		u->failed_attempt = m->failed_attempt;
 		for (uint32_t i = 0; i < u->step->count; i++) {
@@ -202,17 +202,17 @@
 	fields_copy(&wl_spec_fields, &j->spec, spec);
 	j->added_at = now;
 	w->changed = true;
-	job_refresh(j);
+	job_update_settings(j);
 	g_hash_table_insert(w->jobs, j->spec.id, j);
 	TAILQ_INSERT_TAIL(&w->list, j, entry);
-	headroom_note_job(w, j);
+	headroom_record_job(w, j);
 	if (p != NULL && wl_state_ended(p->state)) {
 		j->state = p->state;
 		j->ended_ms = p->ended_ms;
 		return;
 	}
 	j->state = p != NULL ? p->state : WL_QUEUED;
-	job_open_due(j, now, wall);
+	job_open_due_occurrences(j, now, wall);
 	for (uint32_t i = 0; p != NULL && i < p->marks_len; i++) {
 		/* Its progress is stored, so it was due, whatever the clock says now. */
 		while (p->marks[i].occurrence >= j->occurrences_len &&
@@ -262,8 +262,8 @@
 {
 	if (t->phase == TASK_DONE)
 		return NULL;
-	if (t->phase == TASK_HELD)
-		return t->held_by->name;
+	if (t->phase == TASK_UNCONFIRMED)
+		return t->unconfirmed_node->name;
 	return t->node != NULL ? t->node->name : NULL;
 }
 
@@ -273,7 +273,7 @@
 	struct wl_mark m = {.occurrence = u->occurrence, .step = u->step_index};
 
 	if (u->step->gang || u->is_done) {
-		m.index = WL_STEP_WHOLE;
+		m.index = WL_INDEX_GANG;
 		m.done = u->is_done;
 		m.failures = u->failures;
 		m.failed_attempt = u->failed_attempt;
@@ -371,9 +371,9 @@
 	for (guint i = 0; i < w->nodes->len; i++) {
 		struct wl_node *n = w->nodes->pdata[i];
 
-		for (guint k = 0; k < n->end_notes->len; k++) {
-			struct wl_end_note *e =
-				&g_array_index(n->end_notes, struct wl_end_note, k);
+		for (guint k = 0; k < n->pending_ends->len; k++) {
+			struct wl_pending_end *e =
+				&g_array_index(n->pending_ends, struct wl_pending_end, k);
 
 			if (e->job == j)
 				e->job = NULL;
@@ -407,7 +407,7 @@
 }
 
 /* A core for one coordinator's term. */
-struct wl *wl_new(uint64_t term, const struct wl_limits *limits, const struct wl_out *out)
+struct wl *wl_new(uint64_t term, const struct wl_limits *limits, const struct wl_callbacks *out)
 {
 	struct wl *w = xcalloc(1, sizeof(*w));
 
@@ -435,8 +435,8 @@
 		free(n->service);
 		free(n->rack);
 		g_ptr_array_unref(n->labels);
-		g_ptr_array_unref(n->ghosts);
-		g_array_unref(n->end_notes);
+		g_ptr_array_unref(n->orphans);
+		g_array_unref(n->pending_ends);
 		free(n);
 	}
 	g_ptr_array_unref(w->nodes);
@@ -445,8 +445,8 @@
 		job_free(j);
 	}
 	g_hash_table_destroy(w->jobs);
-	if (w->learned != NULL)
-		g_hash_table_destroy(w->learned);
+	if (w->run_stats != NULL)
+		g_hash_table_destroy(w->run_stats);
 	free(w);
 }
 
@@ -458,5 +458,5 @@
 	w->config = c;
 	w->changed = true;
 	TAILQ_FOREACH(j, &w->list, entry)
-		job_refresh(j);
+		job_update_settings(j);
 }
--- a/packages/workload/wl-node.c
+++ b/packages/workload/wl-node.c
@@ -15,7 +15,7 @@
 /* Free a ghost. */
 static void ghost_free(void *arg)
 {
-	struct wl_ghost *g = arg;
+	struct wl_orphan *g = arg;
 
 	free(g->task);
 	free(g);
@@ -33,7 +33,7 @@
 	return NULL;
 }
 
-uint64_t wl_ordinal(const struct wl *w)
+uint64_t wl_last_ordinal(const struct wl *w)
 {
 	return w->ordinal;
 }
@@ -54,19 +54,19 @@
 	n->wl = w;
 	n->name = xstrdup(name);
 	n->labels = g_ptr_array_new_with_free_func(free);
-	n->ghosts = g_ptr_array_new_with_free_func(ghost_free);
-	n->end_notes = g_array_new(FALSE, FALSE, sizeof(struct wl_end_note));
+	n->orphans = g_ptr_array_new_with_free_func(ghost_free);
+	n->pending_ends = g_array_new(FALSE, FALSE, sizeof(struct wl_pending_end));
 	TAILQ_INIT(&n->tasks);
 	g_ptr_array_add(w->nodes, n);
 	return n;
 }
 
 /* A node that an earlier coordinator may have used: it may run anything until it reports. */
-void wl_node_expect(struct wl *w, int64_t now, const char *name)
+void wl_node_await_report(struct wl *w, int64_t now, const char *name)
 {
 	struct wl_node *n = node_get(w, name);
 
-	n->expected = true;
+	n->awaiting_report = true;
 	n->silent_at = now;
 }
 
@@ -75,11 +75,11 @@
 {
 	struct wl_job *j;
 
-	if (!n->expected)
+	if (!n->awaiting_report)
 		return;
-	n->expected = false;
+	n->awaiting_report = false;
 	TAILQ_FOREACH(j, &n->wl->list, entry)
-		job_release_held(j, n, now);
+		job_release_unconfirmed(j, n, now);
 }
 
 /* All runs of a node are over, without a word on how. */
@@ -96,39 +96,40 @@
 		if (u->step->gang && !u->is_done)
 			unit_stop(u, now, "a member of the gang is lost", NULL);
 	}
-	g_ptr_array_set_size(n->ghosts, 0);
+	g_ptr_array_set_size(n->orphans, 0);
 	event_log(EV_WORKER_GONE, "node=%s life=%s why=\"%s\" tasks=%u", n->name,
 		n->life ? n->life : "-", why, lost);
 }
 
 /* How much is held against a worker now. */
-double node_strikes(const struct wl_node *n, int64_t now)
+double node_failure_score(const struct wl_node *n, int64_t now)
 {
-	if (n->strikes <= 0)
+	if (n->failure_score <= 0)
 		return 0;
-	return n->strikes * pow(0.5, (double)(now - n->strikes_at) / (double)STRIKE_HALF_LIFE);
+	return n->failure_score *
+	       pow(0.5, (double)(now - n->failure_score_at) / (double)STRIKE_HALF_LIFE);
 }
 
 /* A run failed on the worker, or it refused one. */
-void node_strike(struct wl_node *n, int64_t now)
+void node_record_failure(struct wl_node *n, int64_t now)
 {
-	n->strikes = node_strikes(n, now) + 1;
-	n->strikes_at = now;
-	if (n->strikes >= STRIKES_SUSPECT)
-		event_log(EV_WORKER_SUSPECT, "node=%s strikes=%.1f", n->name, n->strikes);
+	n->failure_score = node_failure_score(n, now) + 1;
+	n->failure_score_at = now;
+	if (n->failure_score >= STRIKES_SUSPECT)
+		event_log(EV_WORKER_SUSPECT, "node=%s strikes=%.1f", n->name, n->failure_score);
 }
 
 /* A run ended done there: the worker works. */
-void node_clear_strikes(struct wl_node *n)
+void node_record_success(struct wl_node *n)
 {
-	n->strikes /= 2;
+	n->failure_score /= 2;
 }
 
 /* Whether new tasks may go to a worker. */
 bool node_usable(const struct wl_node *n, int64_t now)
 {
-	return n->linked && !n->draining && !n->left && !n->expected && n->life != NULL &&
-	       n->blocked_until <= now;
+	return n->linked && !n->draining && !n->left && !n->awaiting_report &&
+	       n->life != NULL && n->blocked_until <= now;
 }
 
 /* Replace a text. */
@@ -148,10 +149,10 @@
 	set_text(&n->life, life);
 	n->ends_seen = 0;
 	n->ends_stored = 0;
-	n->ends_told = 0;
-	n->strikes = 0;
+	n->ends_acked = 0;
+	n->failure_score = 0;
 	n->blocked_until = 0;
-	g_array_set_size(n->end_notes, 0);
+	g_array_set_size(n->pending_ends, 0);
 }
 
 /* Take over what the report says of the worker itself. */
@@ -162,7 +163,7 @@
 	g_ptr_array_set_size(n->labels, 0);
 	for (uint32_t i = 0; i < r->labels_len; i++)
 		g_ptr_array_add(n->labels, xstrdup(r->labels[i].text));
-	n->capacity = (struct wl_need){.cores_m = r->cores_m,
+	n->capacity = (struct wl_resources){.cores_m = r->cores_m,
 		.memory_mb = r->memory_mb,
 		.accelerators = r->accelerators};
 	n->left = r->left;
@@ -177,7 +178,7 @@
 static void take_ends(struct wl_node *n, int64_t now, int64_t wall, const struct wl_report *r)
 {
 	for (uint32_t i = 0; i < r->ends_len; i++) {
-		struct wl_end_note note = {.number = r->ends[i].number};
+		struct wl_pending_end note = {.number = r->ends[i].number};
 		struct wl_task *t;
 
 		if (note.number <= n->ends_seen)
@@ -187,7 +188,7 @@
 		t = job_task(n->wl, r->ends[i].task, now);
 		note.job = t != NULL ? t->unit->job : NULL;
 		note.version = note.job != NULL ? note.job->version : 0;
-		g_array_append_val(n->end_notes, note);
+		g_array_append_val(n->pending_ends, note);
 	}
 }
 
@@ -195,7 +196,7 @@
 static bool can_adopt(const struct wl_task *t, const struct wl_run *r)
 {
 	if (t->node != NULL || r->attempt < t->attempt ||
-		(t->phase != TASK_WAITING && t->phase != TASK_HELD))
+		(t->phase != TASK_WAITING && t->phase != TASK_UNCONFIRMED))
 		return false;
 	if (wl_state_ended(t->unit->job->state))
 		return false;
@@ -206,7 +207,7 @@
 static void take_ghost(struct wl_node *n, int64_t now, const struct wl_run *r,
 	const struct wl_task *t, GPtrArray *old)
 {
-	struct wl_ghost *g = xcalloc(1, sizeof(*g));
+	struct wl_orphan *g = xcalloc(1, sizeof(*g));
 	struct wl_stop_order o;
 
 	g->task = xstrdup(r->task);
@@ -214,12 +215,12 @@
 	/* Of a job that is not known its size is not either: it may fill the worker. */
 	g->need = t != NULL ? task_need(t->unit->step) : n->capacity;
 	for (guint i = 0; i < old->len; i++) {
-		const struct wl_ghost *was = old->pdata[i];
+		const struct wl_orphan *was = old->pdata[i];
 
 		if (strcmp(was->task, g->task) == 0 && was->attempt == g->attempt)
 			g->stop_sent = was->stop_sent;
 	}
-	g_ptr_array_add(n->ghosts, g);
+	g_ptr_array_add(n->orphans, g);
 	if (g->stop_sent != 0 && now - g->stop_sent < GHOST_STOP_AGAIN)
 		return;
 	g->stop_sent = now;
@@ -237,15 +238,15 @@
 		strcmp(checkpoint, t->checkpoint) == 0)
 		return;
 	g_strlcpy(t->checkpoint, checkpoint, sizeof(t->checkpoint));
-	t->unit->job->checkpoints_due = true;
+	t->unit->job->checkpoints_unsaved = true;
 }
 
 /* Bring the runs that the worker lists in line with the tasks. */
 static void take_runs(struct wl_node *n, int64_t now, const struct wl_report *r)
 {
-	g_autoptr(GPtrArray) old = n->ghosts;
+	g_autoptr(GPtrArray) old = n->orphans;
 
-	n->ghosts = g_ptr_array_new_with_free_func(ghost_free);
+	n->orphans = g_ptr_array_new_with_free_func(ghost_free);
 	for (uint32_t i = 0; i < r->runs_len; i++) {
 		const struct wl_run *run = &r->runs[i];
 		struct wl_task *t = job_task(n->wl, run->task, now);
@@ -262,9 +263,9 @@
 			take_ghost(n, now, run, t, old);
 			continue;
 		}
-		task_run(t, now);
-		t->seen = n->serial;
-		task_progress(t, now, run->percent);
+		task_confirm_running(t, now);
+		t->seen_serial = n->report_serial;
+		task_record_progress(t, now, run->percent);
 		t->figure = run->figure;
 		take_checkpoint(t, run->checkpoint);
 		if (t->phase == TASK_STOPPING ||
@@ -280,11 +281,11 @@
 
 	while (t != NULL) {
 		struct wl_task *next = TAILQ_NEXT(t, on_node);
-		bool missing = t->seen != n->serial && t->phase != TASK_PLACED &&
+		bool missing = t->seen_serial != n->report_serial && t->phase != TASK_PLACED &&
 			       t->ordinal <= r->covers;
 
 		if (missing && t->running_at == 0) {
-			task_void(t, now);
+			task_cancel_start(t, now);
 		} else if (missing) {
 			struct wl_unit *u = t->unit;
 
@@ -306,7 +307,7 @@
 void wl_node_report(struct wl *w, int64_t now, int64_t wall, const struct wl_report *r)
 {
 	struct wl_node *n;
-	struct wl_need capacity;
+	struct wl_resources capacity;
 	bool was_usable;
 	bool was_up;
 
@@ -321,7 +322,7 @@
 	take_identity(n, now, r);
 	n->linked = true;
 	n->silent_at = now;
-	n->serial++;
+	n->report_serial++;
 	take_ends(n, now, wall, r);
 	take_runs(n, now, r);
 	node_known(n, now);
@@ -340,7 +341,7 @@
 }
 
 /* A node's agent is out of reach: what runs there is over only after silence_max. */
-void wl_node_silent(struct wl *w, int64_t now, const char *name)
+void wl_node_unreachable(struct wl *w, int64_t now, const char *name)
 {
 	struct wl_node *n = node_find(w, name);
 
@@ -353,7 +354,7 @@
 }
 
 /* Nodes that nothing runs on any more and that have been silent for long. */
-GPtrArray *wl_nodes_gone(struct wl *w, int64_t now)
+GPtrArray *wl_nodes_expired(struct wl *w, int64_t now)
 {
 	GPtrArray *out = g_ptr_array_new_with_free_func(g_free);
 
@@ -368,9 +369,9 @@
 		}
 		if (n->linked || now - n->silent_at <= w->limits.silence_max)
 			continue;
-		if (n->expected || TAILQ_FIRST(&n->tasks) != NULL || n->ghosts->len > 0)
+		if (n->awaiting_report || TAILQ_FIRST(&n->tasks) != NULL || n->orphans->len > 0)
 			node_lose_tasks(n, now, "its leases have run out");
-		if (n->expected || n->life != NULL)
+		if (n->awaiting_report || n->life != NULL)
 			g_ptr_array_add(out, g_strdup(n->name));
 		node_known(n, now);
 		free(n->life);
@@ -393,14 +394,14 @@
 	event_log(EV_TASK_RUN, "task=%s attempt=%u node=%s answer=%s", a->task, a->attempt,
 		n->name, wl_answer_name(a->answer));
 	if (a->answer == WL_ANSWER_RUNNING) {
-		task_run(t, now);
+		task_confirm_running(t, now);
 		return;
 	}
 	task_detach(t, now);
-	t->avoid = n;
+	t->avoid_node = n;
 	switch (a->answer) {
 	case WL_ANSWER_UNHEALTHY:
-		node_strike(n, now);
+		node_record_failure(n, now);
 		n->blocked_until = now + UNHEALTHY_PAUSE;
 		break;
 	case WL_ANSWER_REFUSED_ROOM:
@@ -426,16 +427,16 @@
 }
 
 /* Up to which end all is stored; true where the worker has not been told so far. */
-bool wl_node_stored(struct wl *w, const char *name, const char **life, uint64_t *number)
+bool wl_node_ends_stored(struct wl *w, const char *name, const char **life, uint64_t *number)
 {
 	struct wl_node *n = node_find(w, name);
 	guint done = 0;
 
 	if (n == NULL || n->life == NULL)
 		return false;
-	while (done < n->end_notes->len) {
-		const struct wl_end_note *e =
-			&g_array_index(n->end_notes, struct wl_end_note, done);
+	while (done < n->pending_ends->len) {
+		const struct wl_pending_end *e =
+			&g_array_index(n->pending_ends, struct wl_pending_end, done);
 
 		if (e->job != NULL && e->job->stored < e->version)
 			break;
@@ -443,10 +444,10 @@
 		done++;
 	}
 	if (done > 0)
-		g_array_remove_range(n->end_notes, 0, done);
-	if (n->ends_stored <= n->ends_told)
+		g_array_remove_range(n->pending_ends, 0, done);
+	if (n->ends_stored <= n->ends_acked)
 		return false;
-	n->ends_told = n->ends_stored;
+	n->ends_acked = n->ends_stored;
 	*life = n->life;
 	*number = n->ends_stored;
 	return true;
--- a/packages/workload/wl-pass.c
+++ b/packages/workload/wl-pass.c
@@ -35,15 +35,15 @@
 		n->usable = node_usable(n, now);
 		n->reserved_from = 0;
 		TAILQ_FOREACH(t, &n->tasks, on_node) {
-			struct wl_need need = task_need(t->unit->step);
+			struct wl_resources need = task_need(t->unit->step);
 
 			resources_deduct(&n->free, &need);
 			if (t->phase != TASK_STOPPING && t->phase != TASK_DONE)
 				resources_deduct(&n->free_after_stops, &need);
 		}
-		for (guint k = 0; k < n->ghosts->len; k++)
+		for (guint k = 0; k < n->orphans->len; k++)
 			resources_deduct(
-				&n->free, &((struct wl_ghost *)n->ghosts->pdata[k])->need);
+				&n->free, &((struct wl_orphan *)n->orphans->pdata[k])->need);
 	}
 }
 
@@ -130,7 +130,7 @@
 /* Whether a unit has waiting tasks that can be placed now; stops incomplete gangs. */
 static bool can_place(struct wl_unit *u, int64_t now)
 {
-	if (u->is_done || u->waiting == 0 || u->retry_at > now || !unit_turn(u))
+	if (u->is_done || u->waiting == 0 || u->retry_at > now || !unit_dependencies_met(u))
 		return false;
 	if (u->step->gang && u->waiting < u->step->count) {
 		stop_incomplete_gang(u, now);
@@ -182,7 +182,7 @@
 
 		task_attach(t, p->node, u->step->gang ? attempt : next_attempt(w, t->attempt));
 		t->phase = TASK_PLACED;
-		t->placed_version = j->version + 1;
+		t->placement_version = j->version + 1;
 		t->placed_at = now;
 		t->running_at = 0;
 		t->stop_sent = 0;
@@ -201,7 +201,7 @@
 {
 	for (guint i = 0; i < plan->len; i++) {
 		const struct placement *p = &g_array_index(plan, struct placement, i);
-		struct wl_need need = task_need(p->task->unit->step);
+		struct wl_resources need = task_need(p->task->unit->step);
 
 		resources_deduct(
 			used == VIEW_FREE ? &p->node->free_after_stops : &p->node->free, &need);
@@ -284,14 +284,14 @@
 /* Periodically stores new checkpoints, in case all VMs lose power. */
 static void store_checkpoints(struct wl_job *j, int64_t now)
 {
-	if (!j->checkpoints_due || now - j->checkpoints_at < CHECKPOINT_STORE_INTERVAL)
+	if (!j->checkpoints_unsaved || now - j->checkpoints_at < CHECKPOINT_STORE_INTERVAL)
 		return;
-	j->checkpoints_due = false;
+	j->checkpoints_unsaved = false;
 	j->checkpoints_at = now;
 	job_dirty(j);
 }
 
-bool wl_wants_pass(const struct wl *w)
+bool wl_pass_needed(const struct wl *w)
 {
 	return w->changed;
 }
@@ -315,7 +315,7 @@
 
 		if (wl_state_ended(j->state))
 			continue;
-		job_open_due(j, now, wall);
+		job_open_due_occurrences(j, now, wall);
 		store_checkpoints(j, now);
 		due = job_next_due(j);
 		if (due > 0)
--- a/packages/workload/wl-place.c
+++ b/packages/workload/wl-place.c
@@ -6,20 +6,20 @@
 #define FAILURE_SCORE_AVOID 0.7
 
 /* Whether the available resources cover a request. */
-bool resources_fit(const struct wl_available *r, const struct wl_need *n)
+bool resources_fit(const struct wl_available *r, const struct wl_resources *n)
 {
 	return r->cores_m >= n->cores_m && r->memory_mb >= n->memory_mb &&
 	       r->accelerators >= n->accelerators;
 }
 
-void resources_deduct(struct wl_available *r, const struct wl_need *n)
+void resources_deduct(struct wl_available *r, const struct wl_resources *n)
 {
 	r->cores_m -= n->cores_m;
 	r->memory_mb -= n->memory_mb;
 	r->accelerators -= n->accelerators;
 }
 
-void resources_add(struct wl_available *r, const struct wl_need *n)
+void resources_add(struct wl_available *r, const struct wl_resources *n)
 {
 	r->cores_m += n->cores_m;
 	r->memory_mb += n->memory_mb;
@@ -76,9 +76,9 @@
 };
 
 static struct place_cost compute_cost(const struct wl_node *n, const struct wl_available *r,
-	const struct wl_task *t, const struct wl_need *need, int64_t now)
+	const struct wl_task *t, const struct wl_resources *need, int64_t now)
 {
-	double score = node_strikes(n, now) + (t->avoid == n ? 1.0 : 0.0);
+	double score = node_failure_score(n, now) + (t->avoid_node == n ? 1.0 : 0.0);
 	const char *data_rack = t->unit->step->data_rack;
 
 	return (struct place_cost){.unreliability = score > FAILURE_SCORE_AVOID ? score : 0,
@@ -107,7 +107,7 @@
 
 /* Whether a task ends before a worker's reservation begins, or fits beside it. */
 static bool respects_reservation(const struct wl_node *n, const struct wl_task *t,
-	const struct wl_need *need, int64_t now)
+	const struct wl_resources *need, int64_t now)
 {
 	return n->reserved_from == 0 ||
 	       now + step_estimate(t->unit->job, t->unit->step) <= n->reserved_from ||
@@ -118,7 +118,7 @@
 static struct wl_node *best_node(struct wl *w, const struct wl_task *t, int64_t now,
 	enum placement_view view, const char *rack, const GArray *plan)
 {
-	struct wl_need need = task_need(t->unit->step);
+	struct wl_resources need = task_need(t->unit->step);
 	struct wl_node *best = NULL;
 	struct place_cost least = {0};
 
@@ -147,7 +147,7 @@
 static uint32_t place_tasks(struct wl *w, struct wl_unit *u, int64_t now,
 	enum placement_view view, const char *rack, GArray *out)
 {
-	struct wl_need need = task_need(u->step);
+	struct wl_resources need = task_need(u->step);
 	uint32_t placed = 0;
 
 	for (uint32_t i = 0; i < u->step->count; i++) {
@@ -161,7 +161,7 @@
 			if (u->step->gang)
 				break;
 			/* All tasks request the same: the next one would not fit either. */
-			if (t->avoid == NULL)
+			if (t->avoid_node == NULL)
 				break;
 			continue;
 		}
@@ -177,7 +177,7 @@
 {
 	for (guint i = from; i < plan->len; i++) {
 		const struct placement *p = &g_array_index(plan, struct placement, i);
-		struct wl_need need = task_need(p->task->unit->step);
+		struct wl_resources need = task_need(p->task->unit->step);
 
 		resources_add(available_on(p->node, view), &need);
 	}
@@ -287,7 +287,7 @@
 bool rack_feasible(const struct wl *w, const struct wl_unit *u)
 {
 	g_autoptr(GPtrArray) racks = list_racks(w);
-	struct wl_need need = task_need(u->step);
+	struct wl_resources need = task_need(u->step);
 
 	for (guint i = 0; i < racks->len; i++) {
 		uint64_t fitting = 0;
@@ -299,7 +299,7 @@
 			const struct wl_node *n = w->nodes->pdata[k];
 			uint64_t here = u->step->count;
 
-			if (n->expected)
+			if (n->awaiting_report)
 				return true;
 			if (!node_potentially_eligible(n, u) ||
 				g_strcmp0(n->rack, racks->pdata[i]) != 0)
--- a/packages/workload/wl-private.h
+++ b/packages/workload/wl-private.h
@@ -13,7 +13,7 @@
 #define RECLAIM_MARGIN (900 * NSEC_PER_MSEC)
 
 /* Resources that a task requires or that a worker has. */
-struct wl_need {
+struct wl_resources {
 	uint32_t cores_m;
 	uint32_t memory_mb;
 	uint32_t accelerators;
@@ -28,7 +28,7 @@
 enum wl_task_phase {
 	TASK_WAITING,
 	/* Placed by an earlier coordinator on a node that has not reported yet. */
-	TASK_HELD,
+	TASK_UNCONFIRMED,
 	/* Placed; the start order is sent once the placement is stored. */
 	TASK_PLACED,
 	TASK_STARTING,
@@ -54,16 +54,16 @@
 	 * stopped, and also after another attempt has completed the task.
 	 */
 	struct wl_node *node;
-	/* TASK_HELD: the node whose report is awaited. */
-	const struct wl_node *held_by;
+	/* TASK_UNCONFIRMED: the node whose report is awaited. */
+	const struct wl_node *unconfirmed_node;
 	/* TASK_PLACED: the job version that contains the placement. */
-	uint64_t placed_version;
+	uint64_t placement_version;
 	int64_t placed_at;
 	int64_t running_at;
 	int64_t stop_sent;
 	int64_t waiting_since;
-	uint64_t ordinal; /* of the last start order */
-	uint64_t seen;	  /* number of the last report that listed the run */
+	uint64_t ordinal;     /* of the last start order */
+	uint64_t seen_serial; /* number of the last report that listed the run */
 	uint32_t percent;
 	int64_t percent_at;  /* when the worker last listed the run */
 	int64_t progress_at; /* when percent last changed */
@@ -73,7 +73,7 @@
 	uint32_t pace;
 	uint32_t figure;
 	/* The worker that last failed or refused the task; used only if no other fits. */
-	const struct wl_node *avoid;
+	const struct wl_node *avoid_node;
 	TAILQ_ENTRY(wl_task) on_node;
 };
 
@@ -108,7 +108,7 @@
 	uint64_t version;
 	uint64_t stored; /* last version known to be stored */
 	/* Checkpoints are newer than the stored ones; when they were last written. */
-	bool checkpoints_due;
+	bool checkpoints_unsaved;
 	int64_t checkpoints_at;
 	/* Settings of the queue, from the latest configuration that contains it. */
 	uint32_t priority;
@@ -124,15 +124,15 @@
 };
 
 /* A run that a worker reports but that is not the current run of any task. */
-struct wl_ghost {
+struct wl_orphan {
 	char *task;
 	uint32_t attempt;
-	struct wl_need need;
+	struct wl_resources need;
 	int64_t stop_sent;
 };
 
 /* A finished run that is acknowledged once the job's version is stored. */
-struct wl_end_note {
+struct wl_pending_end {
 	uint64_t number;
 	struct wl_job *job;
 	uint64_t version;
@@ -145,23 +145,23 @@
 	char *service;
 	char *rack;
 	GPtrArray *labels;
-	struct wl_need capacity;
-	bool expected; /* may run tasks of an earlier coordinator; no report yet */
-	bool linked;   /* its agent is connected */
+	struct wl_resources capacity;
+	bool awaiting_report; /* may run tasks of an earlier coordinator; no report yet */
+	bool linked;	      /* its agent is connected */
 	bool draining;
 	bool left;
 	int64_t drain_until;
 	int64_t silent_at;
 	int64_t blocked_until;
-	double strikes; /* failure score as of strikes_at; decays over time */
-	int64_t strikes_at;
-	uint64_t serial; /* number of reports received */
+	double failure_score; /* failure score as of failure_score_at; decays over time */
+	int64_t failure_score_at;
+	uint64_t report_serial; /* number of reports received */
 	/* Numbers of finished runs: processed, stored, and acknowledged to the worker. */
 	uint64_t ends_seen;
 	uint64_t ends_stored;
-	uint64_t ends_told;
-	GArray *end_notes;
-	GPtrArray *ghosts;
+	uint64_t ends_acked;
+	GArray *pending_ends;
+	GPtrArray *orphans;
 	struct wl_available free;	      /* unallocated; recomputed by each pass */
 	struct wl_available free_after_stops; /* free, plus what is being stopped */
 	bool usable;			      /* accepts new tasks in this pass */
@@ -179,14 +179,14 @@
 struct wl {
 	uint64_t term;
 	struct wl_limits limits;
-	struct wl_out out;
+	struct wl_callbacks out;
 	const struct wl_config *config;
 	GHashTable *jobs;
 	TAILQ_HEAD(, wl_job) list;
 	GPtrArray *nodes;
 	uint64_t ordinal;
 	/* Run time statistics by queue. */
-	GHashTable *learned;
+	GHashTable *run_stats;
 	unsigned int recorded_runs;
 	/* Moving average of the accelerators that urgent jobs request. */
 	double mean_urgent_size;
@@ -200,42 +200,42 @@
 struct wl_job *wl_find_job(const struct wl *w, const char *id);
 struct wl_task *job_task(struct wl *w, const char *name, int64_t now);
 char *task_name(const struct wl_task *t);
-struct wl_need task_need(const struct wl_step *s);
-void job_refresh(struct wl_job *j);
-void job_open_due(struct wl_job *j, int64_t now, int64_t wall);
+struct wl_resources task_need(const struct wl_step *s);
+void job_update_settings(struct wl_job *j);
+void job_open_due_occurrences(struct wl_job *j, int64_t now, int64_t wall);
 void job_dirty(struct wl_job *j);
 void job_finish(
 	struct wl_job *j, int64_t now, int64_t wall, enum wl_state state, const char *why);
 int64_t job_next_due(const struct wl_job *j);
-bool unit_turn(const struct wl_unit *u);
+bool unit_dependencies_met(const struct wl_unit *u);
 
 /* wl-run.c */
 void task_attach(struct wl_task *t, struct wl_node *n, uint32_t attempt);
 void task_detach(struct wl_task *t, int64_t now);
-void task_stop(struct wl_task *t, int64_t now, const char *why, const char *for_whom);
-void task_void(struct wl_task *t, int64_t now);
-void task_run(struct wl_task *t, int64_t now);
+void task_stop(struct wl_task *t, int64_t now, const char *why, const char *beneficiary);
+void task_cancel_start(struct wl_task *t, int64_t now);
+void task_confirm_running(struct wl_task *t, int64_t now);
 void wl_run_ended(
 	struct wl *w, struct wl_node *n, int64_t now, int64_t wall, const struct wl_ended *e);
-void unit_stop(struct wl_unit *u, int64_t now, const char *why, const char *for_whom);
+void unit_stop(struct wl_unit *u, int64_t now, const char *why, const char *beneficiary);
 void job_stop_runs(struct wl_job *j, int64_t now, const char *why);
 void job_send_starts(struct wl_job *j, int64_t now);
-void task_release(struct wl_task *t, int64_t now);
-void job_release_held(struct wl_job *j, const struct wl_node *n, int64_t now);
+void task_release_unconfirmed(struct wl_task *t, int64_t now);
+void job_release_unconfirmed(struct wl_job *j, const struct wl_node *n, int64_t now);
 uint32_t next_attempt(const struct wl *w, uint32_t last);
 
 /* wl-node.c */
 struct wl_node *node_find(const struct wl *w, const char *name);
 void node_lose_tasks(struct wl_node *n, int64_t now, const char *why);
 bool node_usable(const struct wl_node *n, int64_t now);
-double node_strikes(const struct wl_node *n, int64_t now);
-void node_strike(struct wl_node *n, int64_t now);
-void node_clear_strikes(struct wl_node *n);
+double node_failure_score(const struct wl_node *n, int64_t now);
+void node_record_failure(struct wl_node *n, int64_t now);
+void node_record_success(struct wl_node *n);
 
 /* wl-place.c */
-bool resources_fit(const struct wl_available *r, const struct wl_need *n);
-void resources_deduct(struct wl_available *r, const struct wl_need *n);
-void resources_add(struct wl_available *r, const struct wl_need *n);
+bool resources_fit(const struct wl_available *r, const struct wl_resources *n);
+void resources_deduct(struct wl_available *r, const struct wl_resources *n);
+void resources_add(struct wl_available *r, const struct wl_resources *n);
 bool node_eligible(const struct wl_node *n, const struct wl_unit *u);
 /* Which resources a placement may use: those free now, or also those being stopped. */
 enum placement_view {
@@ -257,7 +257,7 @@
 bool unit_may_spread(const struct wl *w, const struct wl_unit *u, int64_t now);
 
 /* wl-headroom.c */
-void headroom_note_job(struct wl *w, const struct wl_job *j);
+void headroom_record_job(struct wl *w, const struct wl_job *j);
 void headroom_select(struct wl *w);
 
 /* wl-reserve.c */
@@ -271,13 +271,13 @@
 	enum reservation_basis basis, int64_t until);
 
 /* wl-estimate.c */
-void learn_run(struct wl_task *t, int64_t duration);
+void run_stats_record(struct wl_task *t, int64_t duration);
 int64_t step_estimate(struct wl_job *j, const struct wl_step *s);
 
 /* wl-health.c */
 bool task_has_progress_rate(const struct wl_task *t);
 int64_t task_remaining(const struct wl_task *t, int64_t now);
-void task_progress(struct wl_task *t, int64_t now, uint32_t percent);
+void task_record_progress(struct wl_task *t, int64_t now, uint32_t percent);
 void health_check(struct wl *w, int64_t now);
 
 /* wl-reclaim.c */
--- a/packages/workload/wl-reclaim.c
+++ b/packages/workload/wl-reclaim.c
@@ -109,7 +109,7 @@
 /* Adds the resources that a victim and its gang would free, or deducts them again. */
 static void adjust_available(const struct wl_task *v, bool add)
 {
-	struct wl_need need = task_need(v->unit->step);
+	struct wl_resources need = task_need(v->unit->step);
 	const struct wl_unit *u = v->unit;
 
 	for (uint32_t i = 0; i < u->step->count; i++) {
@@ -128,14 +128,14 @@
 
 /* The run on a node that loses least work and would free resources that are short. */
 static struct wl_task *cheapest_victim(const struct wl *w, const struct wl_node *n,
-	const struct preemption *c, const struct wl_need *need, int64_t now)
+	const struct preemption *c, const struct wl_resources *need, int64_t now)
 {
 	struct wl_task *t;
 	struct wl_task *best = NULL;
 	double lowest = 0;
 
 	TAILQ_FOREACH(t, &n->tasks, on_node) {
-		struct wl_need frees = task_need(t->unit->step);
+		struct wl_resources frees = task_need(t->unit->step);
 		double loss;
 
 		if ((t->phase != TASK_RUNNING && t->phase != TASK_STARTING &&
@@ -160,7 +160,7 @@
 }
 
 /* Selects victims on a node for one task; returns false with no change if that fails. */
-static bool preempt_on_node(struct wl *w, struct wl_node *n, const struct wl_need *need,
+static bool preempt_on_node(struct wl *w, struct wl_node *n, const struct wl_resources *need,
 	struct preemption *c, int64_t now)
 {
 	guint from = c->victims->len;
@@ -198,7 +198,7 @@
 static bool preempt_for_task(struct wl *w, struct wl_unit *u, struct wl_task *t, int64_t now,
 	const char *rack, struct preemption *c, GArray *plan)
 {
-	struct wl_need need = task_need(u->step);
+	struct wl_resources need = task_need(u->step);
 	struct wl_node *best = NULL;
 	double lowest = 0;
 	struct placement p = {.task = t};
@@ -213,7 +213,7 @@
 		if (node_eligible(n, u) && (rack == NULL || g_strcmp0(rack, n->rack) == 0) &&
 			below_worker_limit(u, n, plan) &&
 			preempt_on_node(w, n, &need, &trial, now)) {
-			loss = trial.loss + node_strikes(n, now) * FAILURE_COST;
+			loss = trial.loss + node_failure_score(n, now) * FAILURE_COST;
 			for (guint k = c->victims->len; k < trial.victims->len; k++)
 				adjust_available(trial.victims->pdata[k], false);
 			if (best == NULL || loss < lowest) {
--- a/packages/workload/wl-reserve.c
+++ b/packages/workload/wl-reserve.c
@@ -10,7 +10,7 @@
 /* Expected end of a run and the resources that it frees. */
 struct pending_release {
 	int64_t at;
-	struct wl_need need;
+	struct wl_resources need;
 };
 
 /* Compares by time, the first member of both structs that are sorted here. */
@@ -26,8 +26,8 @@
  * Returns when a worker will be able to hold a request, INT64_MAX for never, and stores what
  * will be available then.
  */
-static int64_t available_at(const struct wl_node *n, const struct wl_need *need, int64_t now,
-	enum reservation_basis basis, struct wl_available *available)
+static int64_t available_at(const struct wl_node *n, const struct wl_resources *need,
+	int64_t now, enum reservation_basis basis, struct wl_available *available)
 {
 	g_autoptr(GArray) ends = g_array_new(FALSE, FALSE, sizeof(struct pending_release));
 	const struct wl_task *t;
@@ -63,7 +63,7 @@
 
 /* How often a request fits into the available resources, up to a limit. */
 static uint32_t count_fitting(
-	struct wl_available available, const struct wl_need *need, uint32_t max)
+	struct wl_available available, const struct wl_resources *need, uint32_t max)
 {
 	uint32_t n = 0;
 
@@ -86,7 +86,7 @@
 	struct wl *w, const struct wl_unit *u, int64_t now, enum reservation_basis basis)
 {
 	GArray *out = g_array_new(FALSE, FALSE, sizeof(struct reservation));
-	struct wl_need need = task_need(u->step);
+	struct wl_resources need = task_need(u->step);
 
 	for (guint i = 0; i < w->nodes->len; i++) {
 		struct reservation r = {.node = w->nodes->pdata[i]};
@@ -108,7 +108,7 @@
 static int64_t plan_reservations(const struct wl_unit *u, int64_t now, const GArray *candidates,
 	const char *rack, GArray *out)
 {
-	struct wl_need need = task_need(u->step);
+	struct wl_resources need = task_need(u->step);
 	uint32_t remaining = u->waiting;
 	int64_t last = now;
 
--- a/packages/workload/wl-run.c
+++ b/packages/workload/wl-run.c
@@ -27,7 +27,7 @@
 {
 	if (t->phase == TASK_WAITING)
 		t->unit->waiting--;
-	t->held_by = NULL;
+	t->unconfirmed_node = NULL;
 	t->node = n;
 	t->attempt = attempt;
 	t->unit->attempt = MAX(t->unit->attempt, attempt);
@@ -51,35 +51,35 @@
 	if (t->phase == TASK_DONE || t->phase == TASK_WAITING)
 		return;
 	t->phase = TASK_WAITING;
-	t->held_by = NULL;
+	t->unconfirmed_node = NULL;
 	t->waiting_since = now;
 	t->unit->waiting++;
 }
 
 /* It is known that a held task does not run. */
-void task_release(struct wl_task *t, int64_t now)
+void task_release_unconfirmed(struct wl_task *t, int64_t now)
 {
-	if (t->phase == TASK_HELD)
+	if (t->phase == TASK_UNCONFIRMED)
 		task_detach(t, now);
 }
 
 /* A node has reported, or its leases have run out: what it held of a job is released. */
-void job_release_held(struct wl_job *j, const struct wl_node *n, int64_t now)
+void job_release_unconfirmed(struct wl_job *j, const struct wl_node *n, int64_t now)
 {
 	for (uint32_t k = 0; k < j->occurrences_len; k++) {
 		for (uint32_t s = 0; s < j->spec.steps_len; s++) {
 			struct wl_unit *u = &j->occurrences[k][s];
 
 			for (uint32_t i = 0; i < u->step->count; i++) {
-				if (u->tasks[i].held_by == n)
-					task_release(&u->tasks[i], now);
+				if (u->tasks[i].unconfirmed_node == n)
+					task_release_unconfirmed(&u->tasks[i], now);
 			}
 		}
 	}
 }
 
 /* A worker confirmed that the run is there. */
-void task_run(struct wl_task *t, int64_t now)
+void task_confirm_running(struct wl_task *t, int64_t now)
 {
 	if (t->phase != TASK_STARTING)
 		return;
@@ -88,7 +88,7 @@
 }
 
 /* Order a run to stop, again after a while. */
-void task_stop(struct wl_task *t, int64_t now, const char *why, const char *for_whom)
+void task_stop(struct wl_task *t, int64_t now, const char *why, const char *beneficiary)
 {
 	AUTOFREE char *name = NULL;
 	struct wl_stop_order o;
@@ -110,7 +110,7 @@
 		.task = name,
 		.attempt = t->attempt};
 	event_log(EV_TASK_STOP, "task=%s attempt=%u node=%s why=\"%s\" for=%s", name,
-		t->attempt, t->node->name, why, for_whom != NULL ? for_whom : "-");
+		t->attempt, t->node->name, why, beneficiary != NULL ? beneficiary : "-");
 	t->unit->job->wl->out.stop(t->unit->job->wl->out.arg, t->node->name, &o);
 }
 
@@ -118,7 +118,7 @@
  * A start that was never answered does not show in the lists: it may still be carried out. The
  * agent makes it void and answers; until then its room is held and the task runs nowhere else.
  */
-void task_void(struct wl_task *t, int64_t now)
+void task_cancel_start(struct wl_task *t, int64_t now)
 {
 	AUTOFREE char *name = NULL;
 	struct wl_stop_order o;
@@ -139,12 +139,12 @@
 }
 
 /* Stop all runs of a unit. */
-void unit_stop(struct wl_unit *u, int64_t now, const char *why, const char *for_whom)
+void unit_stop(struct wl_unit *u, int64_t now, const char *why, const char *beneficiary)
 {
 	for (uint32_t i = 0; i < u->step->count; i++) {
 		if (u->tasks[i].phase == TASK_PLACED || u->tasks[i].phase == TASK_STARTING ||
 			u->tasks[i].phase == TASK_RUNNING)
-			task_stop(&u->tasks[i], now, why, for_whom);
+			task_stop(&u->tasks[i], now, why, beneficiary);
 	}
 }
 
@@ -178,7 +178,8 @@
 
 	u->is_done = true;
 	for (uint32_t s = 0; s < u->job->spec.steps_len; s++) {
-		if (!units[s].is_done && units[s].ready_at == 0 && unit_turn(&units[s]))
+		if (!units[s].is_done && units[s].ready_at == 0 &&
+			unit_dependencies_met(&units[s]))
 			units[s].ready_at = now;
 	}
 	if (all_done(u->job))
@@ -267,7 +268,7 @@
 				.attempt = t->attempt, .checkpoint = t->checkpoint};
 
 			if (t->node != n || t->phase != TASK_PLACED ||
-				t->placed_version > j->stored)
+				t->placement_version > j->stored)
 				continue;
 			t->phase = TASK_STARTING;
 			t->ordinal = ++w->ordinal;
@@ -314,9 +315,9 @@
 	t->attempt = MAX(t->attempt, e->attempt);
 	t->unit->attempt = MAX(t->unit->attempt, e->attempt);
 	if (e->how == WL_END_DONE && !t->unit->step->long_running) {
-		node_clear_strikes(n);
+		node_record_success(n);
 		if (current && t->running_at > 0 && *t->checkpoint == '\0')
-			learn_run(t, now - t->running_at);
+			run_stats_record(t, now - t->running_at);
 		if (current)
 			task_detach(t, now);
 		ended_done(t, now, wall);
@@ -329,8 +330,8 @@
 			job_dirty(t->unit->job);
 	}
 	if (e->how == WL_END_FAILED) {
-		node_strike(n, now);
-		t->avoid = n;
+		node_record_failure(n, now);
+		t->avoid_node = n;
 		ended_failed(t, now, wall, e->attempt);
 	}
 	if (current && t->unit->step->gang && !t->unit->is_done)
--- a/packages/workload/workload.h
+++ b/packages/workload/workload.h
@@ -17,7 +17,7 @@
 #define WL_REPETITIONS_MAX 100000
 #define WL_NAME_MAX	   128
 #define WL_CHECKPOINT_MAX  64
-#define WL_STEP_WHOLE	   UINT32_MAX /* index of a mark that covers a whole gang */
+#define WL_INDEX_GANG	   UINT32_MAX /* index of a mark that covers a whole gang */
 
 /* Index of a step in wl_spec.steps. */
 struct wl_step_ref {
@@ -352,7 +352,7 @@
 };
 
 /* Callbacks through which the core sends orders and requests storage. */
-struct wl_out {
+struct wl_callbacks {
 	void (*start)(void *arg, const char *node, const struct wl_start_order *o);
 	void (*stop)(void *arg, const char *node, const struct wl_stop_order *o);
 	void (*pace)(void *arg, const char *node, const struct wl_pace_order *o);
@@ -362,13 +362,14 @@
 };
 
 struct wl;
-struct wl *wl_new(uint64_t term, const struct wl_limits *limits, const struct wl_out *out);
+struct wl *wl_new(
+	uint64_t term, const struct wl_limits *limits, const struct wl_callbacks *out);
 void wl_free(struct wl *w);
 void wl_set_config(struct wl *w, const struct wl_config *c);
 
 /*
- * Jobs. Before a stored job is added, wl_node_expect must have been called for each node that
- * may still run tasks of it.
+ * Jobs. Before a stored job is added, wl_node_await_report must have been called for each node
+ * that may still run tasks of it.
  */
 void wl_job_add(struct wl *w, int64_t now, int64_t wall, const struct wl_spec *spec,
 	const struct wl_progress *p);
@@ -382,23 +383,23 @@
 void wl_job_forget(struct wl *w, const char *id);
 
 /* Workers. Registers a node that may still run tasks started by an earlier coordinator. */
-void wl_node_expect(struct wl *w, int64_t now, const char *node);
+void wl_node_await_report(struct wl *w, int64_t now, const char *node);
 void wl_node_report(struct wl *w, int64_t now, int64_t wall, const struct wl_report *r);
-void wl_node_silent(struct wl *w, int64_t now, const char *node);
+void wl_node_unreachable(struct wl *w, int64_t now, const char *node);
 void wl_node_answer(struct wl *w, int64_t now, const struct wl_answer_note *a);
 /*
  * The number up to which the finished runs of the node's current instance are stored. Returns
  * false if the worker has been told already; the caller doesn't own life.
  */
-bool wl_node_stored(struct wl *w, const char *node, const char **life, uint64_t *number);
+bool wl_node_ends_stored(struct wl *w, const char *node, const char **life, uint64_t *number);
 /* Ordinal of the last start order. */
-uint64_t wl_ordinal(const struct wl *w);
+uint64_t wl_last_ordinal(const struct wl *w);
 size_t wl_node_count(const struct wl *w);
 /* Names of nodes on which nothing can be running any more; the array frees its strings. */
-GPtrArray *wl_nodes_gone(struct wl *w, int64_t now);
+GPtrArray *wl_nodes_expired(struct wl *w, int64_t now);
 
 /* Whether anything has changed since the last pass that may allow a task to start. */
-bool wl_wants_pass(const struct wl *w);
+bool wl_pass_needed(const struct wl *w);
 /* Runs a scheduling pass; returns the nanoseconds until the next one is due at the latest. */
 int64_t wl_pass(struct wl *w, int64_t now, int64_t wall);
 
--- a/tests/property/prop-gang.cc
+++ b/tests/property/prop-gang.cc
@@ -92,7 +92,7 @@
 		return;
 	snprintf(reply, sizeof(reply), "r%d", n->index);
 	if (addr[0] == 'r')
-		agent_core_gang_answer(to->core, n->c->now, &m->gang_beat);
+		agent_core_gang_beat_reply(to->core, n->c->now, &m->gang_beat);
 	else
 		agent_core_gang_beat(to->core, n->c->now, &m->gang_beat, reply);
 }
@@ -197,7 +197,7 @@
 	drop_queue(n->to_coord);
 	agent_core_lost_coordinator(n->core);
 	if (c->co != nullptr)
-		coord_closed(c->co, c->now, peer);
+		coord_peer_closed(c->co, c->now, peer);
 }
 
 static void coord_port_close(void *arg, peer_id peer)
@@ -232,7 +232,7 @@
 	u.accelerators = u.slots = u.connections = 8;
 	u.cores = 32;
 	u.memory_mb = 65536;
-	agent_core_announce(n->core, c->now, &u);
+	agent_core_upstream_announced(n->core, c->now, &u);
 }
 
 static void connect_node(cell *c, node *n)
@@ -276,7 +276,7 @@
 	c->term++;
 	for (auto &r : c->store)
 		g_ptr_array_add(records, r.second);
-	coord_begin(c->co, c->now, c->now, c->term, c->roster.c_str(), records, c->document);
+	coord_start_term(c->co, c->now, c->now, c->term, c->roster.c_str(), records, c->document);
 	g_ptr_array_unref(records);
 	h.role = ROLE_ENTRY;
 	h.name = (char *)"e";
--- a/tests/property/prop-sched.cc
+++ b/tests/property/prop-sched.cc
@@ -98,23 +98,23 @@
 		char line[160];
 
 		snprintf(line, sizeof(line), "%d %u %u %" PRId64 "\n", a.kind, a.job, a.attempt,
-			a.kind == SCHED_STOP ? (int64_t)a.stop.why : 0);
+			a.kind == SCHED_ACTION_STOP ? (int64_t)a.stop.why : 0);
 		f.trace += line;
-		if (a.kind == SCHED_PLACE && j->attempt == a.attempt &&
+		if (a.kind == SCHED_ACTION_PLACE && j->attempt == a.attempt &&
 			j->state == SCHED_JOB_PLACING) {
 			f.placed[a.job] = a.attempt;
 			f.open[a.job].clear();
 			for (uint32_t i = 0; i < j->members_len; i++)
 				f.open[a.job].insert(i);
-		} else if (a.kind == SCHED_STOP && f.placed.count(a.job) == 0) {
+		} else if (a.kind == SCHED_ACTION_STOP && f.placed.count(a.job) == 0) {
 			sched_reserve_failed(f.s, f.now, a.job, a.attempt);
-		} else if (a.kind == SCHED_END) {
+		} else if (a.kind == SCHED_ACTION_END) {
 			RC_ASSERT(f.ended[f.names[a.job]]++ == 0);
 			if (a.end.not_run)
 				RC_ASSERT(f.starts[f.names[a.job]] == 0);
 			f.placed.erase(a.job);
 			f.open.erase(a.job);
-			sched_forget(f.s, a.job);
+			sched_remove_job(f.s, a.job);
 		}
 		sched_action_clear(&a);
 	}
@@ -322,7 +322,7 @@
 
 		sched_worker_up(f.s, f.now, &spec);
 	}
-	for (int round = 0; round < 4000 && (sched_queued(f.s) + sched_running(f.s)) > 0; round++) {
+	for (int round = 0; round < 4000 && (sched_queued_count(f.s) + sched_running_count(f.s)) > 0; round++) {
 		f.now += SEC;
 		for (auto &p : std::map<job_ref, uint32_t>(f.placed)) {
 			sched_started(f.s, f.now, p.first, p.second);
@@ -337,7 +337,7 @@
 		carry_out(f);
 		check(f);
 	}
-	size_t queued = sched_queued(f.s), running = sched_running(f.s), ended = f.ended.size();
+	size_t queued = sched_queued_count(f.s), running = sched_running_count(f.s), ended = f.ended.size();
 	sched_free(f.s);
 	RC_ASSERT(queued == 0u);
 	RC_ASSERT(running == 0u);
@@ -392,7 +392,7 @@
 		while (sched_next(f.s, &a)) {
 			struct sched_job *j = sched_job(f.s, a.job);
 
-			if (a.kind == SCHED_STOP) {
+			if (a.kind == SCHED_ACTION_STOP) {
 				for (uint32_t m = 0, len = j->members_len; m < len; m++)
 					sched_member_ended(f.s, f.now, a.job, a.attempt, m,
 						MEMBER_END_STOPPED, 0);
--- a/tests/property/prop-workload.cc
+++ b/tests/property/prop-workload.cc
@@ -304,7 +304,7 @@
 			std::string name = id + "." + std::to_string(m.occurrence) + "." +
 					   std::to_string(m.step);
 
-			if (m.done && m.index != WL_STEP_WHOLE)
+			if (m.done && m.index != WL_INDEX_GANG)
 				name += "." + std::to_string(m.index);
 			if (m.done)
 				w->done_stored.insert(name);
@@ -322,7 +322,7 @@
 static void elect(world *w)
 {
 	wl_limits limits{};
-	wl_out out{};
+	wl_callbacks out{};
 	auto c = std::make_unique<coordinator>();
 
 	if (!w->store_up())
@@ -346,7 +346,7 @@
 	c->core = wl_new(c->term, &limits, &out);
 	wl_set_config(c->core, w->config);
 	for (auto &n : w->roster)
-		wl_node_expect(c->core, w->now, n.c_str());
+		wl_node_await_report(c->core, w->now, n.c_str());
 	w->coordinators.push_back(std::move(c));
 }
 
@@ -427,7 +427,7 @@
 		c->roster_wanted.insert(k.name);
 	const char *which;
 	uint64_t number;
-	if (wl_node_stored(c->core, k.name.c_str(), &which, &number) && life == which)
+	if (wl_node_ends_stored(c->core, k.name.c_str(), &which, &number) && life == which)
 		k.stored = std::max(k.stored, number);
 }
 
@@ -577,21 +577,21 @@
 		return;
 	if (k.follows == l->index) {
 		if (k.lost)
-			k.last_ordinal = wl_ordinal(l->core);
+			k.last_ordinal = wl_last_ordinal(l->core);
 		k.lost = false;
 		return;
 	}
 	if (k.follows >= 0 && !w->coordinators[(size_t)k.follows]->dead && w->pick(20) != 0)
 		return;
 	if (k.follows >= 0 && !w->coordinators[(size_t)k.follows]->dead)
-		wl_node_silent(w->coordinators[(size_t)k.follows]->core, w->now, k.name.c_str());
+		wl_node_unreachable(w->coordinators[(size_t)k.follows]->core, w->now, k.name.c_str());
 	for (auto &b : k.inbox)
 		bytes_clear(&b);
 	k.inbox.clear();
 	k.lost = false;
 	k.follows = l->index;
 	k.term = l->term;
-	k.last_ordinal = wl_ordinal(l->core);
+	k.last_ordinal = wl_last_ordinal(l->core);
 }
 
 static void trouble(world *w)
@@ -670,9 +670,9 @@
 			read_jobs(w, c.get());
 		for (auto &h : c->heard) {
 			if (w->now - h.second > 3 * SEC)
-				wl_node_silent(c->core, w->now, h.first.c_str());
+				wl_node_unreachable(c->core, w->now, h.first.c_str());
 		}
-		GPtrArray *gone = wl_nodes_gone(c->core, w->now);
+		GPtrArray *gone = wl_nodes_expired(c->core, w->now);
 		for (guint i = 0; i < gone->len; i++) {
 			if (w->term == c->term)
 				w->roster.erase((char *)gone->pdata[i]);
--- a/tests/unit/test-agent.c
+++ b/tests/unit/test-agent.c
@@ -61,7 +61,7 @@
 
 	memset(s, 0, sizeof(*s));
 	a = agent_core_new(&ports);
-	agent_core_announce(a, 0, &u);
+	agent_core_upstream_announced(a, 0, &u);
 	agent_core_adopt_term(a, 0, 2);
 	return a;
 }
@@ -157,7 +157,7 @@
 
 	reserve(a, 2, "g", 1, 4, 2, false);
 	CU_ASSERT_EQUAL(s.starts, 0);
-	agent_core_tick(a, AGENT_RESERVE_LEASE + NSEC_PER_SEC);
+	agent_core_tick(a, AGENT_RESERVE_LEASE_NS + NSEC_PER_SEC);
 	CU_ASSERT_EQUAL(s.ended, MEMBER_END_NEVER_STARTED);
 	send_start(a, "g", 1);
 	CU_ASSERT_EQUAL(s.starts, 0);
@@ -199,11 +199,11 @@
 	u.worker = "w";
 	u.rack = "r";
 	u.zone = "z";
-	agent_core_announce(a, 0, &u);
+	agent_core_upstream_announced(a, 0, &u);
 	CU_ASSERT(agent_core_serving(a, 2 * NSEC_PER_SEC));
 	CU_ASSERT_FALSE(agent_core_serving(a, 3 * NSEC_PER_SEC));
-	agent_core_announce(a, 0, &u);
-	agent_core_leave(a, 0);
+	agent_core_upstream_announced(a, 0, &u);
+	agent_core_upstream_leaving(a, 0);
 	reserve(a, 2, "j", 1, 1, 1, true);
 	CU_ASSERT_EQUAL(s.starts, 0);
 	agent_core_free(a);
--- a/tests/unit/test-sched.c
+++ b/tests/unit/test-sched.c
@@ -57,9 +57,9 @@
 
 	sched_run(s, now);
 	while (sched_next(s, &act)) {
-		if (act.kind == SCHED_PLACE)
+		if (act.kind == SCHED_ACTION_PLACE)
 			sched_started(s, now, act.job, act.attempt);
-		stops += act.kind == SCHED_STOP;
+		stops += act.kind == SCHED_ACTION_STOP;
 		sched_action_clear(&act);
 	}
 	wrong = sched_check(s);
--- a/tests/unit/test-workload.c
+++ b/tests/unit/test-workload.c
@@ -96,7 +96,7 @@
 		.silence_max = 10 * SEC,
 		.reclaim_max = 3 * SEC,
 		.retention = 100 * SEC};
-	const struct wl_out out = {.start = on_start,
+	const struct wl_callbacks out = {.start = on_start,
 		.stop = on_stop,
 		.pace = on_pace,
 		.dirty = on_dirty,
@@ -357,14 +357,14 @@
 	GPtrArray *gone;
 
 	bed_open(&b);
-	wl_node_expect(b.wl, b.now, "w1");
+	wl_node_await_report(b.wl, b.now, "w1");
 	wl_job_add(b.wl, b.now, b.now, &spec, &p);
 	report(&b, "w2", NULL, 0, NULL, 0);
 	pass(&b);
 	CU_ASSERT_EQUAL(b.starts, 1);
 	CU_ASSERT_STRING_EQUAL(b.last_start, "0000000000000001.0.0.1");
 	b.now += 11 * SEC;
-	gone = wl_nodes_gone(b.wl, b.now);
+	gone = wl_nodes_expired(b.wl, b.now);
 	CU_ASSERT_EQUAL(gone->len, 1);
 	g_ptr_array_unref(gone);
 	pass(&b);
@@ -388,10 +388,10 @@
 	pass(&b);
 	b.store_down = true;
 	report(&b, "w1", NULL, 0, &end, 1);
-	CU_ASSERT_FALSE(wl_node_stored(b.wl, "w1", &life, &number));
+	CU_ASSERT_FALSE(wl_node_ends_stored(b.wl, "w1", &life, &number));
 	b.store_down = false;
 	store(&b);
-	CU_ASSERT_TRUE_FATAL(wl_node_stored(b.wl, "w1", &life, &number));
+	CU_ASSERT_TRUE_FATAL(wl_node_ends_stored(b.wl, "w1", &life, &number));
 	CU_ASSERT_EQUAL(number, 1);
 	bed_close(&b);
 }
@@ -619,19 +619,22 @@
 		"\"r1-3\"]}";
 	static const char junk[] = "{\"service\":\"s\",\"state\":\"odd\",\"capacity\":{}}";
 	struct bytes text = {(void *)good, strlen(good)};
-	struct pf_beat b;
+	struct pf_heartbeat b;
 
-	CU_ASSERT_EQUAL(pf_beat_parse("PUT", "/v1/instances/i-1", &text, &b), PF_BEAT_REPORT);
+	CU_ASSERT_EQUAL(
+		pf_heartbeat_parse("PUT", "/v1/instances/i-1", &text, &b), PF_HEARTBEAT_REPORT);
 	CU_ASSERT_STRING_EQUAL(b.id, "i-1");
-	CU_ASSERT_STRING_EQUAL(b.self.rack, "r1-3");
-	CU_ASSERT_TRUE(b.self.draining);
-	pf_beat_clear(&b);
-	CU_ASSERT_EQUAL(pf_beat_parse("DELETE", "/v1/instances/i-1", &text, &b), PF_BEAT_LEAVE);
-	pf_beat_clear(&b);
+	CU_ASSERT_STRING_EQUAL(b.worker_report.rack, "r1-3");
+	CU_ASSERT_TRUE(b.worker_report.draining);
+	pf_heartbeat_clear(&b);
+	CU_ASSERT_EQUAL(pf_heartbeat_parse("DELETE", "/v1/instances/i-1", &text, &b),
+		PF_HEARTBEAT_LEAVE);
+	pf_heartbeat_clear(&b);
 	text = (struct bytes){(void *)junk, strlen(junk)};
+	CU_ASSERT_EQUAL(pf_heartbeat_parse("PUT", "/v1/instances/i-1", &text, &b),
+		PF_HEARTBEAT_INVALID);
 	CU_ASSERT_EQUAL(
-		pf_beat_parse("PUT", "/v1/instances/i-1", &text, &b), PF_BEAT_UNREADABLE);
-	CU_ASSERT_EQUAL(pf_beat_parse("PUT", "/elsewhere", &text, &b), PF_BEAT_UNREADABLE);
+		pf_heartbeat_parse("PUT", "/elsewhere", &text, &b), PF_HEARTBEAT_INVALID);
 }
 
 void unit_workload(CU_pSuite s)
