--- a/packages/daemon/entry-auth.c
+++ b/packages/daemon/entry-auth.c
@@ -87,29 +87,29 @@
  */
 bool rate_allows(struct entry *e, const struct entry_view *v, const struct doc_org *o)
 {
-	double share = 1.0 / (v->entries > 0 ? v->entries : 1);
+	double share = 1.0 / (v->entries_count > 0 ? v->entries_count : 1);
 	double rate = o->rate_per_second * share;
 	double burst = (o->rate_burst > 0 ? o->rate_burst : o->rate_per_second) * share;
 	int64_t now = clock_now(loop_clock(e->p->loop));
-	struct rate *r;
+	struct token_bucket *r;
 	bool ok;
 
 	if (o->rate_per_second == 0)
 		return true;
-	pthread_mutex_lock(&e->rates_lock);
-	r = g_hash_table_lookup(e->rates, o->name);
+	pthread_mutex_lock(&e->rate_lock);
+	r = g_hash_table_lookup(e->rate_buckets, o->name);
 	if (r == NULL) {
-		r = g_new0(struct rate, 1);
+		r = g_new0(struct token_bucket, 1);
 		r->tokens = burst;
-		r->at = now;
-		g_hash_table_insert(e->rates, g_strdup(o->name), r);
+		r->refilled_at = now;
+		g_hash_table_insert(e->rate_buckets, g_strdup(o->name), r);
 	}
-	r->tokens += rate * (double)(now - r->at) / (double)NSEC_PER_SEC;
+	r->tokens += rate * (double)(now - r->refilled_at) / (double)NSEC_PER_SEC;
 	r->tokens = MIN(r->tokens, MAX(burst, 1.0));
-	r->at = now;
+	r->refilled_at = now;
 	ok = r->tokens >= 1.0;
 	if (ok)
 		r->tokens -= 1.0;
-	pthread_mutex_unlock(&e->rates_lock);
+	pthread_mutex_unlock(&e->rate_lock);
 	return ok;
 }
--- a/packages/daemon/entry-operator.c
+++ b/packages/daemon/entry-config-http.c
@@ -141,13 +141,13 @@
 static void status(struct entry *e, struct http_request *r, const struct entry_view *v)
 {
 	int64_t age = clock_now(loop_clock(e->p->loop)) -
-		      __atomic_load_n(&e->loaded_at, __ATOMIC_RELAXED);
+		      __atomic_load_n(&e->config_loaded_at, __ATOMIC_RELAXED);
 
 	reply_json(r, json_pack("{s:s,s:s,s:I,s:I,s:b,s:i}", "process", e->name, "role",
 			      "entry", "number", (json_int_t)v->config.number, "checked_ms_ago",
 			      (json_int_t)(age / NSEC_PER_MSEC), "store",
 			      __atomic_load_n(&e->store_up, __ATOMIC_RELAXED), "entries",
-			      (int)v->entries));
+			      (int)v->entries_count));
 }
 
 /* PUT /v1/config/SECTION?base=N. */
@@ -178,7 +178,7 @@
 }
 
 /* Requests about the configuration; false where the path is none of them. */
-bool operator_request(struct entry *e, struct http_request *r, const struct entry_view *v)
+bool config_request(struct entry *e, struct http_request *r, const struct entry_view *v)
 {
 	const char *path = http_path(r);
 	bool get = strcmp(http_method(r), "GET") == 0;
--- a/packages/daemon/entry-config.c
+++ b/packages/daemon/entry-config.c
@@ -62,7 +62,7 @@
 	json_t *o;
 
 	if (g_str_has_prefix(kv->key, ENTRY_PREFIX)) {
-		v->entries++;
+		v->entries_count++;
 		return;
 	}
 	if (!g_str_has_prefix(kv->key, CELLS_PREFIX))
@@ -121,7 +121,7 @@
 	const struct entry_view *old = e->view;
 	bool backwards = !r->ok && error_kind_of(r->err) == ERR_CONFLICT;
 
-	e->loading = false;
+	e->config_loading = false;
 	note_store(e, r->ok || backwards, r->err);
 	if (backwards) {
 		counter_add(&config_backwards, 1);
@@ -134,7 +134,7 @@
 			auth_warn_open(r->view->doc);
 		}
 		counter_set(&config_number, r->view->config.number);
-		__atomic_store_n(&e->loaded_at, loop_now(e->p->loop), __ATOMIC_RELAXED);
+		__atomic_store_n(&e->config_loaded_at, loop_now(e->p->loop), __ATOMIC_RELAXED);
 		rcu_publish(&e->view, r->view, view_free);
 		links_update(e, r->view);
 		r->view = NULL;
@@ -142,8 +142,8 @@
 	view_free(r->view);
 	g_clear_error(&r->err);
 	free(r);
-	if (e->load_again) {
-		e->load_again = false;
+	if (e->config_reload_pending) {
+		e->config_reload_pending = false;
 		config_refresh(e);
 	}
 }
@@ -153,11 +153,11 @@
 {
 	struct reading *r;
 
-	if (e->loading) {
-		e->load_again = true;
+	if (e->config_loading) {
+		e->config_reload_pending = true;
 		return;
 	}
-	e->loading = true;
+	e->config_loading = true;
 	r = xcalloc(1, sizeof(*r));
 	r->entry = e;
 	r->view = xcalloc(1, sizeof(*r->view));
@@ -219,25 +219,25 @@
 	int64_t revision;
 	bool ok;
 
-	if (e->lease != 0 && store_lease_keepalive(e->p->store, e->lease, &left, NULL) &&
+	if (e->lease_id != 0 && store_lease_keepalive(e->p->store, e->lease_id, &left, NULL) &&
 		left > 0)
 		return;
-	if (!store_lease_grant(e->p->store, LEASE_S, &e->lease, NULL))
+	if (!store_lease_grant(e->p->store, LEASE_S, &e->lease_id, NULL))
 		return;
 	xasprintf(&key, "%s%s", ENTRY_PREFIX, e->name);
-	op = (struct store_op){STORE_PUT, key, "{}", 2, e->lease};
+	op = (struct store_op){STORE_PUT, key, "{}", 2, e->lease_id};
 	store_run_txn(e->p->store, &txn, &ok, &revision, NULL);
 }
 
 static void lease_done(void *arg)
 {
-	((struct entry *)arg)->leasing = false;
+	((struct entry *)arg)->lease_in_progress = false;
 }
 
 /* Start to follow the store. */
 void config_start(struct entry *e)
 {
-	e->loaded_at = loop_now(e->p->loop);
+	e->config_loaded_at = loop_now(e->p->loop);
 	config_refresh(e);
 	e->watch_started = pthread_create(&e->watch_thread, NULL, watch_thread, e) == 0;
 }
@@ -248,19 +248,19 @@
 	__atomic_store_n(&e->watch_stop, true, __ATOMIC_RELEASE);
 	if (e->watch_started)
 		pthread_join(e->watch_thread, NULL);
-	if (e->lease != 0)
-		store_lease_revoke(e->p->store, e->lease, NULL);
+	if (e->lease_id != 0)
+		store_lease_revoke(e->p->store, e->lease_id, NULL);
 }
 
 /* Poll now and then, and renew our lease. */
 void config_tick(struct entry *e, int64_t now)
 {
-	counter_set(&config_age, (uint64_t)((now - e->loaded_at) / NSEC_PER_MSEC));
-	if (now - e->loaded_at > POLL_PERIOD && !e->loading)
+	counter_set(&config_age, (uint64_t)((now - e->config_loaded_at) / NSEC_PER_MSEC));
+	if (now - e->config_loaded_at > POLL_PERIOD && !e->config_loading)
 		config_refresh(e);
-	if (!e->leasing && now - e->lease_at > LEASE_PERIOD && !e->stopping) {
-		e->leasing = true;
-		e->lease_at = now;
+	if (!e->lease_in_progress && now - e->lease_checked_at > LEASE_PERIOD && !e->stopping) {
+		e->lease_in_progress = true;
+		e->lease_checked_at = now;
 		work_submit(e->p->pool, lease_run, lease_done, e);
 	}
 }
--- a/packages/daemon/entry-http.c
+++ b/packages/daemon/entry-http.c
@@ -19,10 +19,10 @@
 	q->request = r;
 	q->cell = xstrdup(cell);
 	q->gather = cell == NULL;
-	q->out.kind = MSG_QUERY;
-	q->out.query.what = xstrdup(what);
-	q->out.query.arg = xstrdup(arg);
-	q->out.query.org = xstrdup(org);
+	q->msg.kind = MSG_QUERY;
+	q->msg.query.what = xstrdup(what);
+	q->msg.query.arg = xstrdup(arg);
+	q->msg.query.org = xstrdup(org);
 	loop_post(e->p->loop, query_posted, q);
 }
 
@@ -35,9 +35,9 @@
 	q->entry = e;
 	q->request = r;
 	q->cell = xstrdup(cell);
-	q->out.kind = MSG_CANCEL;
-	q->out.cancel.job = xstrdup(job);
-	q->out.cancel.org = xstrdup(org);
+	q->msg.kind = MSG_CANCEL;
+	q->msg.cancel.job = xstrdup(job);
+	q->msg.cancel.org = xstrdup(org);
 	loop_post(e->p->loop, query_posted, q);
 }
 
@@ -198,7 +198,7 @@
 		job_request(e, r, v);
 	} else if (g_str_has_prefix(path, "/v1/workers/")) {
 		drain_request(e, r, v);
-	} else if (!list_request(e, r, v) && !operator_request(e, r, v)) {
+	} else if (!list_request(e, r, v) && !config_request(e, r, v)) {
 		http_reply_problem(r, ERR_NOT_FOUND, "no such path", NULL);
 	}
 }
--- a/packages/daemon/entry-job.c
+++ b/packages/daemon/entry-job.c
@@ -33,17 +33,17 @@
 /* Put a job at the head of the chain of its id. */
 static void chain_add(struct open_job *j)
 {
-	j->same = g_hash_table_lookup(j->entry->jobs, j->spec.id);
-	g_hash_table_replace(j->entry->jobs, j->spec.id, j);
+	j->next_same_id = g_hash_table_lookup(j->entry->jobs_by_id, j->spec.id);
+	g_hash_table_replace(j->entry->jobs_by_id, j->spec.id, j);
 }
 
 /* Take the chain of an id out of the table. */
 static struct open_job *chain_take(struct entry *e, const char *id)
 {
-	struct open_job *j = g_hash_table_lookup(e->jobs, id);
+	struct open_job *j = g_hash_table_lookup(e->jobs_by_id, id);
 
 	if (j != NULL)
-		g_hash_table_remove(e->jobs, id);
+		g_hash_table_remove(e->jobs_by_id, id);
 	return j;
 }
 
@@ -54,7 +54,7 @@
 	struct open_job *next;
 
 	for (; at != NULL; at = next) {
-		next = at->same;
+		next = at->next_same_id;
 		if (at != j)
 			chain_add(at);
 	}
@@ -71,7 +71,7 @@
 }
 
 /* Answer a request with how its job ended. */
-void answer_result(struct http_request *r, const char *job, const struct job_result *res)
+void reply_job_result(struct http_request *r, const char *job, const struct job_result *res)
 {
 	AUTOFREE char *extra = NULL;
 
@@ -123,7 +123,7 @@
 	struct entry *e = j->entry;
 	struct cell_link *l = link_find(e, j->cell);
 
-	LIST_INSERT_HEAD(&e->jobs_head, j, link);
+	LIST_INSERT_HEAD(&e->open_jobs, j, link);
 	chain_add(j);
 	counter_set(&jobs_open, __atomic_load_n(&e->open_count, __ATOMIC_RELAXED));
 	if (l != NULL && l->ready)
@@ -131,11 +131,11 @@
 }
 
 /* A cell has a new coordinator, or ours is back: submit what is open there again. */
-void job_resend(struct entry *e, struct cell_link *l)
+void jobs_resubmit(struct entry *e, struct cell_link *l)
 {
 	struct open_job *j;
 
-	LIST_FOREACH(j, &e->jobs_head, link) {
+	LIST_FOREACH(j, &e->open_jobs, link) {
 		if (strcmp(j->cell, l->name) == 0)
 			send_job(j, l);
 	}
@@ -150,11 +150,11 @@
 	if (j == NULL)
 		counter_add(&answers_stray, 1);
 	for (; j != NULL; j = next) {
-		next = j->same;
+		next = j->next_same_id;
 		if (a->returned) {
 			j->sent = false;
 			j->last_term = 0;
-			j->since = loop_now(e->p->loop);
+			j->waiting_since = loop_now(e->p->loop);
 			chain_add(j);
 			continue;
 		}
@@ -166,7 +166,7 @@
 		if (a->accepted_only)
 			answer_accepted(j->request, j->spec.id);
 		else
-			answer_result(j->request, j->spec.id, &a->result);
+			reply_job_result(j->request, j->spec.id, &a->result);
 		count_out(j);
 	}
 }
@@ -175,13 +175,13 @@
 static void answer_late(struct open_job *j, int64_t now)
 {
 	struct entry *e = j->entry;
-	bool no_coordinator = !j->sent && now - j->since > e->coordinator_timeout;
+	bool no_coordinator = !j->sent && now - j->waiting_since > e->coordinator_timeout;
 
 	if (no_coordinator) {
 		http_reply_problem(j->request, ERR_NO_COORDINATOR,
 			"the cell has no coordinator; the job was not handed over", NULL);
 		close_job(j);
-	} else if (now - j->since > e->answer_timeout && j->sent) {
+	} else if (now - j->waiting_since > e->answer_timeout && j->sent) {
 		if (j->accepted)
 			answer_accepted(j->request, j->spec.id);
 		else
@@ -192,12 +192,12 @@
 }
 
 /* Enforce the limits on waiting. */
-void job_tick(struct entry *e, int64_t now)
+void jobs_check_timeouts(struct entry *e, int64_t now)
 {
 	struct open_job *j;
 	struct open_job *next;
 
-	for (j = LIST_FIRST(&e->jobs_head); j != NULL; j = next) {
+	for (j = LIST_FIRST(&e->open_jobs); j != NULL; j = next) {
 		next = LIST_NEXT(j, link);
 		answer_late(j, now);
 	}
--- a/packages/daemon/entry-link.c
+++ b/packages/daemon/entry-link.c
@@ -46,7 +46,7 @@
 	struct bytes b;
 	bool ok;
 
-	if (l == NULL || !l->open)
+	if (l == NULL || !l->connected)
 		return false;
 	b = msg_encode(m);
 	ok = peer_send(e->net, l->peer, b.data, b.len);
@@ -75,7 +75,7 @@
 		l->addr = xstrdup(t->addr);
 		if (l->peer != PEER_NONE)
 			peer_close(e->net, l->peer);
-		l->next_dial = 0;
+		l->next_dial_at = 0;
 	}
 }
 
@@ -89,13 +89,13 @@
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
 		struct cell_link *l = value;
 
-		if (l->peer != PEER_NONE && now - l->heard > SILENCE_MAX)
+		if (l->peer != PEER_NONE && now - l->last_received > SILENCE_MAX)
 			peer_close(e->net, l->peer);
-		if (l->peer != PEER_NONE || l->addr == NULL || now < l->next_dial)
+		if (l->peer != PEER_NONE || l->addr == NULL || now < l->next_dial_at)
 			continue;
-		l->heard = now;
+		l->last_received = now;
 		l->peer = peer_dial(e->net, l->addr, NULL);
-		l->next_dial = now + DIAL_RETRY;
+		l->next_dial_at = now + DIAL_RETRY;
 	}
 }
 
@@ -110,7 +110,7 @@
 	(void)dialled;
 	if (l == NULL)
 		return;
-	l->open = true;
+	l->connected = true;
 	link_send_msg(e, l, &m);
 }
 
@@ -124,7 +124,7 @@
 	l->ready = true;
 	l->term = w->term;
 	l->ready_term = w->term;
-	job_resend(e, l);
+	jobs_resubmit(e, l);
 }
 
 /* Keep the newest summary of a cell. */
@@ -146,7 +146,7 @@
 
 	if (l == NULL)
 		return;
-	l->heard = loop_now(e->p->loop);
+	l->last_received = loop_now(e->p->loop);
 	if (!msg_decode(&m, body, len, &err)) {
 		log_warning("entry", "A coordinator sent %s.", err->message);
 		peer_close(e->net, peer);
@@ -175,8 +175,8 @@
 	if (l->ready)
 		log_info("entry", "The connection to the coordinator of %s is gone.", l->name);
 	l->peer = PEER_NONE;
-	l->open = false;
+	l->connected = false;
 	l->ready = false;
-	l->next_dial = loop_now(e->p->loop) + DIAL_RETRY;
+	l->next_dial_at = loop_now(e->p->loop) + DIAL_RETRY;
 	config_refresh(e);
 }
--- a/packages/daemon/entry-private.h
+++ b/packages/daemon/entry-private.h
@@ -3,102 +3,106 @@
 
 #include "daemon.h"
 
-/* What request threads read without a lock: the document and how it came here. */
+/*
+ * The configuration and the live cells and entries. Published by RCU, so that HTTP threads
+ * read it without a lock.
+ */
 struct entry_view {
 	struct doc *doc;
 	struct config_snapshot config;
-	GPtrArray *cells;
-	uint32_t entries;
+	GPtrArray *cells;	/* of struct cell_term */
+	uint32_t entries_count; /* entries that hold a lease */
 };
 
-/* A cell as the store and its coordinator describe it. */
+/* A cell, the connection to its coordinator and the coordinator's latest summary. */
 struct cell_link {
 	char *name;
 	char *addr;
-	uint64_t term;
+	uint64_t term; /* newest term known from the store or a welcome */
 	peer_id peer;
-	bool open;
-	bool ready;
-	uint64_t ready_term;
-	int64_t next_dial;
-	int64_t heard;
+	bool connected;
+	bool ready;	     /* the coordinator has sent its welcome */
+	uint64_t ready_term; /* term in that welcome */
+	int64_t next_dial_at;
+	int64_t last_received;
 	struct msg_summary summary;
 	bool has_summary;
 };
 
-/* A job whose caller waits here. */
+/* A submitted job whose HTTP request has not been answered yet. */
 struct open_job {
 	struct entry *entry;
 	struct http_request *request;
 	struct job_spec spec;
 	char *cell;
-	bool wait;
-	bool sent;
+	bool wait; /* answer with the result, not on acceptance */
+	bool sent; /* a coordinator may have received the job */
 	bool accepted;
-	uint64_t last_term;
-	int64_t since;
+	uint64_t last_term; /* term that it was last sent to */
+	int64_t waiting_since;
 	int64_t deadline_at;
-	struct open_job *same;
+	struct open_job *next_same_id; /* another request for the same job id */
 	LIST_ENTRY(open_job) link;
 };
 
-/* A question to one cell or to all, whose answers are put together. */
+/* A query or cancellation sent to one cell, or to all cells with their replies merged. */
 struct open_query {
 	struct entry *entry;
 	struct http_request *request;
 	uint64_t id;
-	struct msg out;
+	struct msg msg;
 	char *cell;
-	bool gather;
-	uint32_t expected;
-	json_t *parts;
-	int64_t since;
+	bool gather; /* merge the replies of all cells */
+	uint32_t replies_pending;
+	json_t *replies;
+	int64_t sent_at;
 };
 
-struct rate {
+/* The rate limit of an organisation. */
+struct token_bucket {
 	double tokens;
-	int64_t at;
+	int64_t refilled_at;
 };
 
 struct entry {
 	struct process *p;
 	struct peer_net *net;
 	struct http_server *http;
-	struct loop_timer *tick;
+	struct loop_timer *timer;
 	char *name;
-	void *view;
+	void *view; /* struct entry_view, published by RCU */
 	GHashTable *links;
-	LIST_HEAD(, open_job) jobs_head;
-	GHashTable *jobs;
+	LIST_HEAD(, open_job) open_jobs;
+	GHashTable *jobs_by_id; /* heads of the chains linked by next_same_id */
 	GHashTable *queries;
-	uint64_t next_query;
+	uint64_t last_query_id;
 	int64_t answer_timeout;
 	int64_t coordinator_timeout;
 	uint32_t open_max;
 	uint32_t open_count;
 	bool stopping;
-	bool loading;
-	bool load_again;
+	bool config_loading;
+	bool config_reload_pending; /* load again once the current load is done */
 	bool store_up;
-	int64_t loaded_at;
-	int64_t lease_at;
-	int64_t lease;
-	bool leasing;
+	int64_t config_loaded_at;
+	int64_t lease_checked_at;
+	int64_t lease_id;	/* 0 before the first grant */
+	bool lease_in_progress; /* a grant or renewal runs on the pool */
 	pthread_t watch_thread;
 	bool watch_started;
 	bool watch_stop;
-	pthread_mutex_t rates_lock;
-	GHashTable *rates;
+	pthread_mutex_t rate_lock;
+	GHashTable *rate_buckets; /* organisation name to struct token_bucket */
 };
 
-/* entry-config.c: keeping the view up to date. */
+/* entry-config.c: keeps the view in step with the store. */
 void config_start(struct entry *e);
 void config_stop(struct entry *e);
 void config_refresh(struct entry *e);
 void config_tick(struct entry *e, int64_t now);
 void view_free(void *view);
 
-/* entry-link.c: connections to the coordinators. */
+/* entry-link.c: connections to the coordinators; on the loop's thread. */
 void links_update(struct entry *e, const struct entry_view *v);
 void links_tick(struct entry *e, int64_t now);
 void link_on_opened(void *arg, peer_id peer, bool dialled);
@@ -108,27 +112,27 @@
 bool link_send_msg(struct entry *e, struct cell_link *l, const struct msg *m);
 void link_free(void *link);
 
-/* entry-job.c: the jobs that callers wait for; on the loop's thread. */
+/* entry-job.c: open jobs; on the loop's thread. */
 void job_open(struct open_job *j);
 void job_on_answer(struct entry *e, const struct msg_answer *a);
-void job_resend(struct entry *e, struct cell_link *l);
-void job_tick(struct entry *e, int64_t now);
+void jobs_resubmit(struct entry *e, struct cell_link *l);
+void jobs_check_timeouts(struct entry *e, int64_t now);
 void open_job_free(struct open_job *j);
+void reply_job_result(struct http_request *r, const char *job, const struct job_result *res);
 
-/* entry-query.c: questions to the coordinators; on the loop's thread. */
+/* entry-query.c: queries and cancellations; on the loop's thread. */
 void query_open(struct open_query *q);
 void query_on_reply(struct entry *e, const struct msg_reply *r);
 bool query_on_result(struct entry *e, const struct msg_answer *a);
-void query_tick(struct entry *e, int64_t now);
-void answer_result(struct http_request *r, const char *job, const struct job_result *res);
+void queries_check_timeouts(struct entry *e, int64_t now);
 
-/* entry-http.c: requests, on HTTP threads. */
+/* entry-http.c: routing of HTTP requests; on HTTP threads. */
 void entry_request(struct http_request *r, void *arg);
 
-/* entry-submit.c */
+/* entry-submit.c: POST /v1/jobs; on HTTP threads. */
 void submit_request(struct entry *e, struct http_request *r, const struct entry_view *v);
 
-/* entry-auth.c */
+/* entry-auth.c: bearer tokens and rate limits. */
 enum auth_kind {
 	AUTH_ORG,
 	AUTH_TEAM,
@@ -140,7 +144,7 @@
 bool rate_allows(struct entry *e, const struct entry_view *v, const struct doc_org *o);
 void auth_warn_open(const struct doc *d);
 
-/* entry-operator.c: configuration over HTTP, on HTTP threads and the pool. */
-bool operator_request(struct entry *e, struct http_request *r, const struct entry_view *v);
+/* entry-config-http.c: the configuration over HTTP; on HTTP threads and the pool. */
+bool config_request(struct entry *e, struct http_request *r, const struct entry_view *v);
 
 #endif
--- a/packages/daemon/entry-query.c
+++ b/packages/daemon/entry-query.c
@@ -10,21 +10,21 @@
 {
 	g_hash_table_remove(q->entry->queries, &q->id);
 	free(q->cell);
-	free(q->out.kind == MSG_QUERY ? q->out.query.what : q->out.cancel.job);
-	if (q->out.kind == MSG_QUERY) {
-		free(q->out.query.arg);
-		free(q->out.query.org);
+	free(q->msg.kind == MSG_QUERY ? q->msg.query.what : q->msg.cancel.job);
+	if (q->msg.kind == MSG_QUERY) {
+		free(q->msg.query.arg);
+		free(q->msg.query.org);
 	} else {
-		free(q->out.cancel.org);
+		free(q->msg.cancel.org);
 	}
-	json_decref(q->parts);
+	json_decref(q->replies);
 	free(q);
 }
 
 /* Answer with the parts that came. */
 static void answer_parts(struct open_query *q)
 {
-	AUTOFREE char *text = json_dumps(q->parts, JSON_COMPACT | JSON_SORT_KEYS);
+	AUTOFREE char *text = json_dumps(q->replies, JSON_COMPACT | JSON_SORT_KEYS);
 
 	http_reply_text(q->request, 200, "application/json", text);
 	close_query(q);
@@ -33,9 +33,9 @@
 /* Send the question to one cell. */
 static bool ask_cell(struct open_query *q, struct cell_link *l)
 {
-	if (l == NULL || !l->ready || !link_send_msg(q->entry, l, &q->out))
+	if (l == NULL || !l->ready || !link_send_msg(q->entry, l, &q->msg))
 		return false;
-	q->expected++;
+	q->replies_pending++;
 	return true;
 }
 
@@ -46,13 +46,13 @@
 	GHashTableIter it;
 	gpointer value;
 
-	q->id = ++e->next_query;
-	q->since = loop_now(e->p->loop);
-	q->parts = json_array();
-	if (q->out.kind == MSG_QUERY)
-		q->out.query.request = q->id;
+	q->id = ++e->last_query_id;
+	q->sent_at = loop_now(e->p->loop);
+	q->replies = json_array();
+	if (q->msg.kind == MSG_QUERY)
+		q->msg.query.request = q->id;
 	else
-		q->out.cancel.request = q->id;
+		q->msg.cancel.request = q->id;
 	g_hash_table_insert(e->queries, &q->id, q);
 	if (q->cell != NULL) {
 		ask_cell(q, link_find(e, q->cell));
@@ -61,7 +61,7 @@
 		while (g_hash_table_iter_next(&it, NULL, &value))
 			ask_cell(q, value);
 	}
-	if (q->expected > 0)
+	if (q->replies_pending > 0)
 		return;
 	if (q->gather)
 		answer_parts(q);
@@ -91,11 +91,11 @@
 	}
 	o = r->failed ? NULL : json_loads(r->json, 0, NULL);
 	if (json_is_array(o))
-		json_array_extend(q->parts, o);
+		json_array_extend(q->replies, o);
 	else if (o != NULL)
-		json_array_append(q->parts, o);
+		json_array_append(q->replies, o);
 	json_decref(o);
-	if (--q->expected == 0)
+	if (--q->replies_pending == 0)
 		answer_parts(q);
 }
 
@@ -106,14 +106,14 @@
 		a->request != 0 ? g_hash_table_lookup(e->queries, &a->request) : NULL;
 
 	if (q != NULL && a->job != NULL) {
-		answer_result(q->request, a->job, &a->result);
+		reply_job_result(q->request, a->job, &a->result);
 		close_query(q);
 	}
 	return a->request != 0;
 }
 
 /* Answer the questions that wait too long. */
-void query_tick(struct entry *e, int64_t now)
+void queries_check_timeouts(struct entry *e, int64_t now)
 {
 	g_autoptr(GPtrArray) late = g_ptr_array_new();
 	GHashTableIter it;
@@ -121,7 +121,7 @@
 
 	g_hash_table_iter_init(&it, e->queries);
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
-		if (now - ((struct open_query *)value)->since > QUERY_TIMEOUT)
+		if (now - ((struct open_query *)value)->sent_at > QUERY_TIMEOUT)
 			g_ptr_array_add(late, value);
 	}
 	for (guint i = 0; i < late->len; i++) {
--- a/packages/daemon/entry-submit.c
+++ b/packages/daemon/entry-submit.c
@@ -343,9 +343,9 @@
 	j->spec.fingerprint = fingerprint(body);
 	j->spec.durable = !j->wait || (key != NULL && !j->spec.idempotent);
 	j->spec.submitted_wall_ms = clock_wall(loop_clock(e->p->loop)) / NSEC_PER_MSEC;
-	j->since = clock_now(loop_clock(e->p->loop));
+	j->waiting_since = clock_now(loop_clock(e->p->loop));
 	if (j->spec.deadline_ms > 0)
-		j->deadline_at = j->since + j->spec.deadline_ms * NSEC_PER_MSEC;
+		j->deadline_at = j->waiting_since + j->spec.deadline_ms * NSEC_PER_MSEC;
 	return j;
 }
 
--- a/packages/daemon/entry.c
+++ b/packages/daemon/entry.c
@@ -13,8 +13,8 @@
 
 	config_tick(e, now);
 	links_tick(e, now);
-	job_tick(e, now);
-	query_tick(e, now);
+	jobs_check_timeouts(e, now);
+	queries_check_timeouts(e, now);
 }
 
 /* Start an entry. */
@@ -39,11 +39,11 @@
 	e->open_max = (uint32_t)options_number(o, "open-max");
 	e->store_up = true;
 	e->links = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, link_free);
-	e->jobs = g_hash_table_new(g_str_hash, g_str_equal);
+	e->jobs_by_id = g_hash_table_new(g_str_hash, g_str_equal);
 	e->queries = g_hash_table_new(g_int64_hash, g_int64_equal);
-	e->rates = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	LIST_INIT(&e->jobs_head);
-	pthread_mutex_init(&e->rates_lock, NULL);
+	e->rate_buckets = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+	LIST_INIT(&e->open_jobs);
+	pthread_mutex_init(&e->rate_lock, NULL);
 	e->net = peer_net_new(p->loop, p->keys, &events);
 	e->http = http_server_new(options_string(o, "http"), &limits, entry_request, e, err);
 	if (e->http == NULL) {
@@ -53,7 +53,7 @@
 	e->name = xstrdup(*options_string(o, "name") ? options_string(o, "name")
 						     : http_server_addr(e->http));
 	config_start(e);
-	e->tick = loop_timer_add(p->loop, ENTRY_TICK, ENTRY_TICK, on_tick, e);
+	e->timer = loop_timer_add(p->loop, ENTRY_TICK, ENTRY_TICK, on_tick, e);
 	log_info("entry", "Entry %s is up. http=%s", e->name, http_server_addr(e->http));
 	return e;
 }
@@ -67,7 +67,7 @@
 /* Whether no caller waits any more. */
 bool entry_idle(const struct entry *e)
 {
-	return LIST_EMPTY(&e->jobs_head) && g_hash_table_size(e->queries) == 0 &&
+	return LIST_EMPTY(&e->open_jobs) && g_hash_table_size(e->queries) == 0 &&
 	       http_server_open(e->http) == 0;
 }
 
@@ -76,7 +76,7 @@
 {
 	struct open_job *j;
 
-	while ((j = LIST_FIRST(&e->jobs_head)) != NULL) {
+	while ((j = LIST_FIRST(&e->open_jobs)) != NULL) {
 		LIST_REMOVE(j, link);
 		http_reply_outcome(j->request, ERR_DRAINING,
 			"this entry is stopping; ask another one for the job", !j->sent, 1,
@@ -92,15 +92,15 @@
 		return;
 	drop_open(e);
 	config_stop(e);
-	loop_timer_del(e->p->loop, e->tick);
+	loop_timer_del(e->p->loop, e->timer);
 	http_server_free(e->http);
 	peer_net_free(e->net);
 	view_free(e->view);
 	g_hash_table_destroy(e->links);
-	g_hash_table_destroy(e->jobs);
+	g_hash_table_destroy(e->jobs_by_id);
 	g_hash_table_destroy(e->queries);
-	g_hash_table_destroy(e->rates);
-	pthread_mutex_destroy(&e->rates_lock);
+	g_hash_table_destroy(e->rate_buckets);
+	pthread_mutex_destroy(&e->rate_lock);
 	free(e->name);
 	free(e);
 }
