--- a/packages/daemon/entry.c
+++ b/packages/daemon/entry.c
@@ -3,10 +3,11 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define ENTRY_TICK (200 * NSEC_PER_MSEC)
+#define TICK_PERIOD	 (200 * NSEC_PER_MSEC)
+#define STOPPING_RETRY_S 1
 
-/* Several times a second. */
-static void on_tick(void *arg)
+/* Runs the periodic work of the entry. */
+static void on_timer(void *arg)
 {
 	struct entry *e = arg;
 	int64_t now = loop_now(e->p->loop);
@@ -17,7 +18,7 @@
 	queries_check_timeouts(e, now);
 }
 
-/* Start an entry. */
+/* Creates an entry and starts serving HTTP. */
 struct entry *entry_new(struct process *p, GError **err)
 {
 	struct entry *e = xcalloc(1, sizeof(*e));
@@ -53,44 +54,47 @@
 	e->name = xstrdup(*options_string(o, "name") ? options_string(o, "name")
 						     : http_server_addr(e->http));
 	config_start(e);
-	e->timer = loop_timer_add(p->loop, ENTRY_TICK, ENTRY_TICK, on_tick, e);
-	log_info("entry", "Entry %s is up. http=%s", e->name, http_server_addr(e->http));
+	e->timer = loop_timer_add(p->loop, TICK_PERIOD, TICK_PERIOD, on_timer, e);
+	log_info("entry", "Entry %s started. http=%s", e->name, http_server_addr(e->http));
 	return e;
 }
 
-/* Begin a graceful stop: not ready, no new connections; answers still go out. */
+/*
+ * Begins a graceful stop: /readyz reports not ready and new submissions are refused, but open
+ * requests are still answered.
+ */
 void entry_stop(struct entry *e)
 {
 	__atomic_store_n(&e->stopping, true, __ATOMIC_RELAXED);
 }
 
-/* Whether no caller waits any more. */
+/* Returns whether no request is waiting for an answer. */
 bool entry_idle(const struct entry *e)
 {
 	return LIST_EMPTY(&e->open_jobs) && g_hash_table_size(e->queries) == 0 &&
 	       http_server_open(e->http) == 0;
 }
 
-/* Answer whoever still waits, at the end of a stop that hit its limit. */
-static void drop_open(struct entry *e)
+/* Fails the jobs that are still open when a graceful stop reaches its time limit. */
+static void fail_open_jobs(struct entry *e)
 {
 	struct open_job *j;
 
 	while ((j = LIST_FIRST(&e->open_jobs)) != NULL) {
 		LIST_REMOVE(j, link);
 		http_reply_outcome(j->request, ERR_DRAINING,
-			"this entry is stopping; ask another one for the job", !j->sent, 1,
-			NULL);
+			"this entry is stopping; ask another entry for the job", !j->sent,
+			STOPPING_RETRY_S, NULL);
 		open_job_free(j);
 	}
 }
 
-/* Stop at once. */
+/* Stops the entry immediately and frees it. */
 void entry_free(struct entry *e)
 {
 	if (e == NULL)
 		return;
-	drop_open(e);
+	fail_open_jobs(e);
 	config_stop(e);
 	loop_timer_del(e->p->loop, e->timer);
 	http_server_free(e->http);
@@ -105,7 +109,7 @@
 	free(e);
 }
 
-/* Where callers reach the entry. */
+/* Returns the address of the HTTP server. */
 const char *entry_http_addr(const struct entry *e)
 {
 	return http_server_addr(e->http);
