--- a/packages/daemon/entry-auth.c
+++ b/packages/daemon/entry-auth.c
@@ -2,10 +2,11 @@
 
 #include <string.h>
 
-#define BEARER "Bearer "
+#define BEARER_PREFIX "Bearer "
+#define TEAM_PREFIX   "teams/"
 
-/* Compare digests without leaking where they differ. */
-static bool equal_digest(const char *a, const char *b)
+/* Compares digests in a time that does not depend on where they differ. */
+static bool digest_equal(const char *a, const char *b)
 {
 	size_t len = strlen(a);
 	unsigned char diff = 0;
@@ -17,27 +18,29 @@
 	return diff == 0;
 }
 
-/* Whether the request's bearer token has a digest; an absent digest means open. */
+/* Returns whether the bearer token has the given digest. NULL allows any request. */
 static bool token_matches(const struct http_request *r, const char *digest)
 {
 	const char *header = http_header(r, "Authorization");
-	AUTOFREE char *mine = NULL;
+	AUTOFREE char *actual = NULL;
 
 	if (digest == NULL)
 		return true;
-	if (header == NULL || strncmp(header, BEARER, strlen(BEARER)) != 0)
+	if (header == NULL || strncmp(header, BEARER_PREFIX, strlen(BEARER_PREFIX)) != 0)
 		return false;
-	mine = doc_token_digest(header + strlen(BEARER));
-	return equal_digest(mine, digest);
+	actual = doc_token_digest(header + strlen(BEARER_PREFIX));
+	return digest_equal(actual, digest);
 }
 
-/* Whether the caller may act as an operator. */
+/* Returns whether the caller has operator rights. */
 bool auth_operator(const struct http_request *r, const struct doc *d)
 {
 	return token_matches(r, d->operators_digest);
 }
 
-/* Whether the caller may act for an organisation: its own token, its team's or an operator's.
+/*
+ * Returns whether the caller may act for an organisation: with its token, the token of its
+ * team or an operator's. An organisation without either token is open to anyone.
  */
 bool auth_org(const struct http_request *r, const struct doc *d, const struct doc_org *o)
 {
@@ -52,18 +55,23 @@
 	return d->operators_digest != NULL && auth_operator(r, d);
 }
 
-/* Whether the caller may edit a section: its team's token, or an operator's. */
+/*
+ * Returns whether the caller may edit a section: with an operator's token or, for the section
+ * of a team, with the team's.
+ */
 bool auth_team(const struct http_request *r, const struct doc *d, const char *section)
 {
-	const struct doc_team *t =
-		g_str_has_prefix(section, "teams/") ? doc_find_team(d, section + 6) : NULL;
+	const struct doc_team *t = g_str_has_prefix(section, TEAM_PREFIX)
+					   ? doc_find_team(d, section + strlen(TEAM_PREFIX))
+					   : NULL;
 
 	if (auth_operator(r, d))
 		return true;
 	return t != NULL && t->token_digest != NULL && token_matches(r, t->token_digest);
 }
 
-/* Say which organisations take jobs from anybody. */
+/* Warns where a missing token leaves an organisation or the operators' rights open to anyone.
+ */
 void auth_warn_open(const struct doc *d)
 {
 	const struct doc_org *o;
@@ -73,17 +81,18 @@
 		const struct doc_team *t = doc_find_team(d, o->team);
 
 		if (o->token_digest == NULL && (t == NULL || t->token_digest == NULL))
-			log_warning(
-				"entry", "Organisation %s is open: it has no token.", o->name);
+			log_warning("entry",
+				"Organisation %s accepts jobs from anyone: it has no token.",
+				o->name);
 	}
 	if (d->operators_digest == NULL)
 		log_warning(
-			"entry", "The configuration is open: there is no operators' token.");
+			"entry", "Anyone can act as an operator: no operators' token is set.");
 }
 
 /*
- * Whether an organisation's limit has room for one more request. Each entry enforces its part
- * of the limit, the limit divided by the entries that hold a lease.
+ * Takes a token from the organisation's bucket; false if it is over its rate limit. Each entry
+ * enforces an equal share: the limit divided by the number of entries that hold a lease.
  */
 bool rate_allows(struct entry *e, const struct entry_view *v, const struct doc_org *o)
 {
@@ -91,25 +100,25 @@
 	double rate = o->rate_per_second * share;
 	double burst = (o->rate_burst > 0 ? o->rate_burst : o->rate_per_second) * share;
 	int64_t now = clock_now(loop_clock(e->p->loop));
-	struct token_bucket *r;
-	bool ok;
+	struct token_bucket *bucket;
+	bool allowed;
 
 	if (o->rate_per_second == 0)
 		return true;
 	pthread_mutex_lock(&e->rate_lock);
-	r = g_hash_table_lookup(e->rate_buckets, o->name);
-	if (r == NULL) {
-		r = g_new0(struct token_bucket, 1);
-		r->tokens = burst;
-		r->refilled_at = now;
-		g_hash_table_insert(e->rate_buckets, g_strdup(o->name), r);
+	bucket = g_hash_table_lookup(e->rate_buckets, o->name);
+	if (bucket == NULL) {
+		bucket = g_new0(struct token_bucket, 1);
+		bucket->tokens = burst;
+		bucket->refilled_at = now;
+		g_hash_table_insert(e->rate_buckets, g_strdup(o->name), bucket);
 	}
-	r->tokens += rate * (double)(now - r->refilled_at) / (double)NSEC_PER_SEC;
-	r->tokens = MIN(r->tokens, MAX(burst, 1.0));
-	r->refilled_at = now;
-	ok = r->tokens >= 1.0;
-	if (ok)
-		r->tokens -= 1.0;
+	bucket->tokens += rate * (double)(now - bucket->refilled_at) / (double)NSEC_PER_SEC;
+	bucket->tokens = MIN(bucket->tokens, MAX(burst, 1.0));
+	bucket->refilled_at = now;
+	allowed = bucket->tokens >= 1.0;
+	if (allowed)
+		bucket->tokens -= 1.0;
 	pthread_mutex_unlock(&e->rate_lock);
-	return ok;
+	return allowed;
 }
