--- a/packages/daemon/entry-query.c
+++ b/packages/daemon/entry-query.c
@@ -3,9 +3,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define QUERY_TIMEOUT (5 * NSEC_PER_SEC)
+#define QUERY_TIMEOUT	       (5 * NSEC_PER_SEC)
+#define NO_COORDINATOR_RETRY_S 3
 
-/* Forget a question. */
+/* Removes a query and frees it. */
 static void close_query(struct open_query *q)
 {
 	g_hash_table_remove(q->entry->queries, &q->id);
@@ -21,8 +22,8 @@
 	free(q);
 }
 
-/* Answer with the parts that came. */
-static void answer_parts(struct open_query *q)
+/* Answers with the replies received so far and closes the query. */
+static void reply_gathered(struct open_query *q)
 {
 	AUTOFREE char *text = json_dumps(q->replies, JSON_COMPACT | JSON_SORT_KEYS);
 
@@ -30,8 +31,8 @@
 	close_query(q);
 }
 
-/* Send the question to one cell. */
-static bool ask_cell(struct open_query *q, struct cell_link *l)
+/* Sends the query to a cell; false if the coordinator is not connected. */
+static bool send_to_cell(struct open_query *q, struct cell_link *l)
 {
 	if (l == NULL || !l->ready || !link_send_msg(q->entry, l, &q->msg))
 		return false;
@@ -39,7 +40,7 @@
 	return true;
 }
 
-/* A new question. Posted to the loop by an HTTP thread. */
+/* Registers a query and sends it. Posted to the loop by an HTTP thread. */
 void query_open(struct open_query *q)
 {
 	struct entry *e = q->entry;
@@ -55,29 +56,29 @@
 		q->msg.cancel.request = q->id;
 	g_hash_table_insert(e->queries, &q->id, q);
 	if (q->cell != NULL) {
-		ask_cell(q, link_find(e, q->cell));
+		send_to_cell(q, link_find(e, q->cell));
 	} else {
 		g_hash_table_iter_init(&it, e->links);
 		while (g_hash_table_iter_next(&it, NULL, &value))
-			ask_cell(q, value);
+			send_to_cell(q, value);
 	}
 	if (q->replies_pending > 0)
 		return;
 	if (q->gather)
-		answer_parts(q);
+		reply_gathered(q);
 	else {
 		http_reply_outcome(q->request, ERR_NO_COORDINATOR,
-			"the cell has no coordinator; nothing can be said about the job", false,
-			3, NULL);
+			"the cell has no coordinator; the state of the job is unknown", false,
+			NO_COORDINATOR_RETRY_S, NULL);
 		close_query(q);
 	}
 }
 
-/* One cell answered. */
+/* Handles the reply of one cell. */
 void query_on_reply(struct entry *e, const struct msg_reply *r)
 {
 	struct open_query *q = g_hash_table_lookup(e->queries, &r->request);
-	json_t *o;
+	json_t *reply;
 
 	if (q == NULL)
 		return;
@@ -89,17 +90,20 @@
 		close_query(q);
 		return;
 	}
-	o = r->failed ? NULL : json_loads(r->json, 0, NULL);
-	if (json_is_array(o))
-		json_array_extend(q->replies, o);
-	else if (o != NULL)
-		json_array_append(q->replies, o);
-	json_decref(o);
+	reply = r->failed ? NULL : json_loads(r->json, 0, NULL);
+	if (json_is_array(reply))
+		json_array_extend(q->replies, reply);
+	else if (reply != NULL)
+		json_array_append(q->replies, reply);
+	json_decref(reply);
 	if (--q->replies_pending == 0)
-		answer_parts(q);
+		reply_gathered(q);
 }
 
-/* The whole result of a job, for a caller that asked for it later. */
+/*
+ * Handles the result of a job that was requested by a query; false if the message answers a
+ * submission instead.
+ */
 bool query_on_result(struct entry *e, const struct msg_answer *a)
 {
 	struct open_query *q =
@@ -112,27 +116,28 @@
 	return a->request != 0;
 }
 
-/* Answer the questions that wait too long. */
+/* Closes queries that timed out; gathered ones are answered with the replies so far. */
 void queries_check_timeouts(struct entry *e, int64_t now)
 {
-	g_autoptr(GPtrArray) late = g_ptr_array_new();
+	g_autoptr(GPtrArray) expired = g_ptr_array_new();
 	GHashTableIter it;
 	gpointer value;
 
 	g_hash_table_iter_init(&it, e->queries);
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
 		if (now - ((struct open_query *)value)->sent_at > QUERY_TIMEOUT)
-			g_ptr_array_add(late, value);
+			g_ptr_array_add(expired, value);
 	}
-	for (guint i = 0; i < late->len; i++) {
-		struct open_query *q = late->pdata[i];
+	for (guint i = 0; i < expired->len; i++) {
+		struct open_query *q = expired->pdata[i];
 
 		if (q->gather) {
-			answer_parts(q);
+			reply_gathered(q);
 			continue;
 		}
 		http_reply_outcome(q->request, ERR_NO_COORDINATOR,
-			"the coordinator did not answer in time", false, 3, NULL);
+			"the coordinator did not answer in time", false, NO_COORDINATOR_RETRY_S,
+			NULL);
 		close_query(q);
 	}
 }
