--- a/packages/daemon/entry-link.c
+++ b/packages/daemon/entry-link.c
@@ -4,10 +4,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define DIAL_RETRY  (300 * NSEC_PER_MSEC)
-#define SILENCE_MAX (4 * NSEC_PER_SEC)
+#define REDIAL_DELAY	(300 * NSEC_PER_MSEC)
+#define SILENCE_TIMEOUT (4 * NSEC_PER_SEC)
 
-/* Free a link. */
+/* Frees a link. */
 void link_free(void *link)
 {
 	struct cell_link *l = link;
@@ -18,13 +18,13 @@
 	free(l);
 }
 
-/* Find the link to a cell. */
+/* Returns the link to a cell, or NULL. */
 struct cell_link *link_find(struct entry *e, const char *cell)
 {
 	return cell != NULL ? g_hash_table_lookup(e->links, cell) : NULL;
 }
 
-/* Find a link by its connection. */
+/* Returns the link that uses a connection, or NULL. */
 static struct cell_link *link_by_peer(struct entry *e, peer_id peer)
 {
 	GHashTableIter it;
@@ -40,7 +40,7 @@
 	return NULL;
 }
 
-/* Send a message to a cell's coordinator. */
+/* Sends a message to the coordinator of a cell; false if it is not connected. */
 bool link_send_msg(struct entry *e, struct cell_link *l, const struct msg *m)
 {
 	struct bytes b;
@@ -54,7 +54,10 @@
 	return ok;
 }
 
-/* Take over where the coordinators are; one with a lower term is passed over. */
+/*
+ * Updates the coordinators' addresses from the view. A cell whose term is not newer than the
+ * known one is ignored, as its coordinator may have been replaced.
+ */
 void links_update(struct entry *e, const struct entry_view *v)
 {
 	for (guint i = 0; i < v->cells->len; i++) {
@@ -68,7 +71,7 @@
 		}
 		if (t->term <= l->term || t->addr == NULL)
 			continue;
-		log_info("entry", "Cell %s is coordinated at %s. term=%" PRIu64, t->name,
+		log_info("entry", "The coordinator of cell %s is at %s. term=%" PRIu64, t->name,
 			t->addr, t->term);
 		l->term = t->term;
 		free(l->addr);
@@ -79,7 +82,7 @@
 	}
 }
 
-/* Dial the coordinators that we are not connected to, and leave those that fell silent. */
+/* Closes connections that have been silent too long and dials missing ones. */
 void links_tick(struct entry *e, int64_t now)
 {
 	GHashTableIter it;
@@ -89,17 +92,17 @@
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
 		struct cell_link *l = value;
 
-		if (l->peer != PEER_NONE && now - l->last_received > SILENCE_MAX)
+		if (l->peer != PEER_NONE && now - l->last_received > SILENCE_TIMEOUT)
 			peer_close(e->net, l->peer);
 		if (l->peer != PEER_NONE || l->addr == NULL || now < l->next_dial_at)
 			continue;
 		l->last_received = now;
 		l->peer = peer_dial(e->net, l->addr, NULL);
-		l->next_dial_at = now + DIAL_RETRY;
+		l->next_dial_at = now + REDIAL_DELAY;
 	}
 }
 
-/* A connection is open: introduce ourselves. */
+/* Sends the hello on a new connection. */
 void link_on_opened(void *arg, peer_id peer, bool dialled)
 {
 	struct entry *e = arg;
@@ -114,7 +117,10 @@
 	link_send_msg(e, l, &m);
 }
 
-/* A coordinator's welcome; a process that is none, or an older one, is left. */
+/*
+ * Handles a welcome. Closes the connection if the peer does not coordinate this cell or has an
+ * older term than the known one.
+ */
 static void on_welcome(struct entry *e, struct cell_link *l, const struct msg_welcome *w)
 {
 	if (w->term == 0 || g_strcmp0(w->cell, l->name) != 0 || w->term < l->term) {
@@ -127,7 +133,7 @@
 	jobs_resubmit(e, l);
 }
 
-/* Keep the newest summary of a cell. */
+/* Stores the latest summary of a cell. */
 static void on_summary(struct cell_link *l, const struct msg_summary *s)
 {
 	free(l->summary.cell);
@@ -136,7 +142,7 @@
 	l->has_summary = true;
 }
 
-/* A message of a coordinator. */
+/* Dispatches a message from a coordinator. */
 void link_on_message(void *arg, peer_id peer, const uint8_t *body, size_t len)
 {
 	struct entry *e = arg;
@@ -148,7 +154,8 @@
 		return;
 	l->last_received = loop_now(e->p->loop);
 	if (!msg_decode(&m, body, len, &err)) {
-		log_warning("entry", "A coordinator sent %s.", err->message);
+		log_warning("entry", "Invalid message from the coordinator of cell %s: %s.",
+			l->name, err->message);
 		peer_close(e->net, peer);
 		return;
 	}
@@ -163,7 +170,7 @@
 	msg_clear(&m);
 }
 
-/* A connection is gone. */
+/* Marks a link as disconnected and reads the coordinators' addresses again. */
 void link_on_closed(void *arg, peer_id peer, const GError *why)
 {
 	struct entry *e = arg;
@@ -173,10 +180,11 @@
 	if (l == NULL)
 		return;
 	if (l->ready)
-		log_info("entry", "The connection to the coordinator of %s is gone.", l->name);
+		log_info(
+			"entry", "Lost the connection to the coordinator of cell %s.", l->name);
 	l->peer = PEER_NONE;
 	l->connected = false;
 	l->ready = false;
-	l->next_dial_at = loop_now(e->p->loop) + DIAL_RETRY;
+	l->next_dial_at = loop_now(e->p->loop) + REDIAL_DELAY;
 	config_refresh(e);
 }
