--- a/packages/daemon/entry-job.c
+++ b/packages/daemon/entry-job.c
@@ -10,7 +10,7 @@
 COUNTER(jobs_resent, "damaskpath_jobs_resent_total", "Jobs submitted again to a new term.");
 GAUGE(jobs_open, "damaskpath_jobs_open", "Jobs whose callers wait at this entry.");
 
-/* Free an open job. */
+/* Frees an open job. */
 void open_job_free(struct open_job *j)
 {
 	fields_clear(&job_spec_fields, &j->spec);
@@ -18,8 +18,8 @@
 	free(j);
 }
 
-/* Count a job out; it is in no list any more. */
-static void count_out(struct open_job *j)
+/* Removes an answered job from the list of open jobs and frees it. */
+static void release_job(struct open_job *j)
 {
 	struct entry *e = j->entry;
 
@@ -30,14 +30,14 @@
 	open_job_free(j);
 }
 
-/* Put a job at the head of the chain of its id. */
+/* Prepends a job to the chain of jobs with its id. */
 static void chain_add(struct open_job *j)
 {
 	j->next_same_id = g_hash_table_lookup(j->entry->jobs_by_id, j->spec.id);
 	g_hash_table_replace(j->entry->jobs_by_id, j->spec.id, j);
 }
 
-/* Take the chain of an id out of the table. */
+/* Removes the chain of an id from the table and returns its head, or NULL. */
 static struct open_job *chain_take(struct entry *e, const char *id)
 {
 	struct open_job *j = g_hash_table_lookup(e->jobs_by_id, id);
@@ -47,22 +47,22 @@
 	return j;
 }
 
-/* Forget a job that has been answered. */
+/* Removes an answered job from its chain and releases it. */
 static void close_job(struct open_job *j)
 {
-	struct open_job *at = chain_take(j->entry, j->spec.id);
+	struct open_job *other = chain_take(j->entry, j->spec.id);
 	struct open_job *next;
 
-	for (; at != NULL; at = next) {
-		next = at->next_same_id;
-		if (at != j)
-			chain_add(at);
+	for (; other != NULL; other = next) {
+		next = other->next_same_id;
+		if (other != j)
+			chain_add(other);
 	}
-	count_out(j);
+	release_job(j);
 }
 
-/* The outcome's extra members of a problem. */
-static char *outcome_json(const char *job, const struct job_result *res)
+/* Returns the members that an outcome adds to a problem document, with a leading comma. */
+static char *outcome_members(const char *job, const struct job_result *res)
 {
 	char *text;
 
@@ -70,7 +70,7 @@
 	return text;
 }
 
-/* Answer a request with how its job ended. */
+/* Answers a request with the result of a job, or a problem document if it has none. */
 void reply_job_result(struct http_request *r, const char *job, const struct job_result *res)
 {
 	AUTOFREE char *extra = NULL;
@@ -82,12 +82,12 @@
 			res->type, res->body.data, res->body.len);
 		return;
 	}
-	extra = outcome_json(job, res);
+	extra = outcome_members(job, res);
 	http_reply_outcome(r, res->error, res->detail, res->not_run, res->retry_after_s, extra);
 }
 
-/* Tell a caller that its job was accepted and where to ask for it. */
-static void answer_accepted(struct http_request *r, const char *job)
+/* Answers that a job was accepted, with the path to query it. */
+static void reply_accepted(struct http_request *r, const char *job)
 {
 	AUTOFREE char *location = NULL;
 	AUTOFREE char *body = NULL;
@@ -99,7 +99,10 @@
 	http_reply_text(r, 202, "application/json", body);
 }
 
-/* Submit a job to its cell, if there is a coordinator. */
+/*
+ * Submits a job to the coordinator of its cell. A job sent before is marked, with the term it
+ * was last sent to, so that a new coordinator knows that an earlier one may have seen it.
+ */
 static void send_job(struct open_job *j, struct cell_link *l)
 {
 	int64_t now = loop_now(j->entry->p->loop);
@@ -117,7 +120,10 @@
 	j->last_term = l->ready_term;
 }
 
-/* A new job of a caller. Posted to the loop by an HTTP thread. */
+/*
+ * Registers a job and submits it if the cell's coordinator is connected. Posted to the loop by
+ * an HTTP thread.
+ */
 void job_open(struct open_job *j)
 {
 	struct entry *e = j->entry;
@@ -130,7 +136,7 @@
 		send_job(j, l);
 }
 
-/* A cell has a new coordinator, or ours is back: submit what is open there again. */
+/* Submits the open jobs of a cell to a coordinator that has just connected. */
 void jobs_resubmit(struct entry *e, struct cell_link *l)
 {
 	struct open_job *j;
@@ -141,7 +147,10 @@
 	}
 }
 
-/* An answer of a coordinator: matched by job, never by order or connection. */
+/*
+ * Handles an answer about a job. Answers are matched by job id, never by order or connection.
+ * A returned job has not been started and counts as never sent.
+ */
 void job_on_answer(struct entry *e, const struct msg_answer *a)
 {
 	struct open_job *j = a->job != NULL ? chain_take(e, a->job) : NULL;
@@ -164,26 +173,26 @@
 			continue;
 		}
 		if (a->accepted_only)
-			answer_accepted(j->request, j->spec.id);
+			reply_accepted(j->request, j->spec.id);
 		else
 			reply_job_result(j->request, j->spec.id, &a->result);
-		count_out(j);
+		release_job(j);
 	}
 }
 
-/* Answer a caller that has waited too long. */
-static void answer_late(struct open_job *j, int64_t now)
+/* Answers a job's request if it has timed out. */
+static void check_timeout(struct open_job *j, int64_t now)
 {
 	struct entry *e = j->entry;
 	bool no_coordinator = !j->sent && now - j->waiting_since > e->coordinator_timeout;
 
 	if (no_coordinator) {
 		http_reply_problem(j->request, ERR_NO_COORDINATOR,
-			"the cell has no coordinator; the job was not handed over", NULL);
+			"the cell has no coordinator; the job was not forwarded", NULL);
 		close_job(j);
 	} else if (now - j->waiting_since > e->answer_timeout && j->sent) {
 		if (j->accepted)
-			answer_accepted(j->request, j->spec.id);
+			reply_accepted(j->request, j->spec.id);
 		else
 			http_reply_outcome(j->request, ERR_UNKNOWN_OUTCOME,
 				"no coordinator confirmed the job in time", false, 0, NULL);
@@ -191,7 +200,7 @@
 	}
 }
 
-/* Enforce the limits on waiting. */
+/* Answers the requests that have timed out. */
 void jobs_check_timeouts(struct entry *e, int64_t now)
 {
 	struct open_job *j;
@@ -199,6 +208,6 @@
 
 	for (j = LIST_FIRST(&e->open_jobs); j != NULL; j = next) {
 		next = LIST_NEXT(j, link);
-		answer_late(j, now);
+		check_timeout(j, now);
 	}
 }
