--- a/packages/daemon/entry-http.c
+++ b/packages/daemon/entry-http.c
@@ -3,13 +3,13 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* The posted half of a question. */
-static void query_posted(void *arg)
+/* Calls query_open on the loop. */
+static void query_open_posted(void *arg)
 {
 	query_open(arg);
 }
 
-/* Hand a question to the loop; cell NULL asks all cells. */
+/* Posts a query to the loop; a NULL cell queries all cells. */
 static void post_query(struct entry *e, struct http_request *r, const char *cell,
 	const char *what, const char *arg, const char *org)
 {
@@ -23,10 +23,10 @@
 	q->msg.query.what = xstrdup(what);
 	q->msg.query.arg = xstrdup(arg);
 	q->msg.query.org = xstrdup(org);
-	loop_post(e->p->loop, query_posted, q);
+	loop_post(e->p->loop, query_open_posted, q);
 }
 
-/* Hand a cancellation to the loop. */
+/* Posts the cancellation of a job to the loop. */
 static void post_cancel(struct entry *e, struct http_request *r, const char *cell,
 	const char *job, const char *org)
 {
@@ -38,12 +38,13 @@
 	q->msg.kind = MSG_CANCEL;
 	q->msg.cancel.job = xstrdup(job);
 	q->msg.cancel.org = xstrdup(org);
-	loop_post(e->p->loop, query_posted, q);
+	loop_post(e->p->loop, query_open_posted, q);
 }
 
 /*
- * The organisation that a reader is bound to: operators see all, others must name one that
- * their token covers. False where the request has been answered.
+ * Sets org to the organisation that a read is limited to, or to NULL for all. Only operators
+ * may read all; others must name an organisation that their token covers. If access is denied,
+ * answers the request and returns false.
  */
 static bool reader_org(struct http_request *r, const struct entry_view *v, const char **org)
 {
@@ -52,7 +53,7 @@
 
 	*org = NULL;
 	if (name != NULL && o == NULL) {
-		http_reply_problem(r, ERR_NOT_FOUND, "there is no such organisation", NULL);
+		http_reply_problem(r, ERR_NOT_FOUND, "the organisation does not exist", NULL);
 		return false;
 	}
 	if (o != NULL && auth_org(r, v->doc, o)) {
@@ -68,59 +69,59 @@
 	return false;
 }
 
-/* The cell in a job's id; NULL where the id is malformed. */
-static char *cell_of(const char *id)
+/* Returns the cell part of a job id, "CELL~HEX", or NULL if the id is malformed. */
+static char *job_id_cell(const char *id)
 {
-	const char *mark = strrchr(id, '~');
+	const char *separator = strrchr(id, '~');
 
-	if (mark == NULL || mark == id || strlen(id) >= 2 * JOB_ID_MAX)
+	if (separator == NULL || separator == id || strlen(id) >= 2 * JOB_ID_MAX)
 		return NULL;
-	return bytes_copy(id, (size_t)(mark - id)).data;
+	return bytes_copy(id, (size_t)(separator - id)).data;
 }
 
-/* /v1/jobs/ID[/result|/explain]. */
+/* GET /v1/jobs/ID[/result|/explain] and DELETE /v1/jobs/ID. */
 static void job_request(struct entry *e, struct http_request *r, const struct entry_view *v)
 {
 	AUTOFREE char *id = xstrdup(http_path(r) + strlen("/v1/jobs/"));
-	char *word = strchr(id, '/');
+	char *subpath = strchr(id, '/');
 	AUTOFREE char *cell = NULL;
 	const char *org;
 
-	if (word != NULL)
-		*word++ = '\0';
-	cell = cell_of(id);
+	if (subpath != NULL)
+		*subpath++ = '\0';
+	cell = job_id_cell(id);
 	if (cell == NULL) {
-		http_reply_problem(r, ERR_NOT_FOUND, "there is no job with this id", NULL);
+		http_reply_problem(r, ERR_NOT_FOUND, "no job has this id", NULL);
 		return;
 	}
 	if (!reader_org(r, v, &org))
 		return;
-	if (strcmp(http_method(r), "DELETE") == 0 && word == NULL)
+	if (strcmp(http_method(r), "DELETE") == 0 && subpath == NULL)
 		post_cancel(e, r, cell, id, org);
 	else if (strcmp(http_method(r), "GET") != 0)
 		http_reply_problem(r, ERR_INVALID, "use GET or DELETE", NULL);
-	else if (word == NULL)
+	else if (subpath == NULL)
 		post_query(e, r, cell, "job", id, org);
-	else if (strcmp(word, "result") == 0 || strcmp(word, "explain") == 0)
-		post_query(e, r, cell, word, id, org);
+	else if (strcmp(subpath, "result") == 0 || strcmp(subpath, "explain") == 0)
+		post_query(e, r, cell, subpath, id, org);
 	else
 		http_reply_problem(r, ERR_NOT_FOUND, "no such path", NULL);
 }
 
-/* POST /v1/workers/NAME/drain?on=yes|no */
+/* POST /v1/workers/NAME/drain?on=yes|no. */
 static void drain_request(struct entry *e, struct http_request *r, const struct entry_view *v)
 {
 	AUTOFREE char *name = xstrdup(http_path(r) + strlen("/v1/workers/"));
-	char *word = strchr(name, '/');
+	char *subpath = strchr(name, '/');
 	const char *on = http_query(r, "on");
 	AUTOFREE char *arg = NULL;
 
-	if (word == NULL || strcmp(word, "/drain") != 0 ||
+	if (subpath == NULL || strcmp(subpath, "/drain") != 0 ||
 		strcmp(http_method(r), "POST") != 0) {
 		http_reply_problem(r, ERR_NOT_FOUND, "no such path", NULL);
 		return;
 	}
-	*word = '\0';
+	*subpath = '\0';
 	if (!auth_operator(r, v->doc)) {
 		http_reply_problem(r, ERR_UNAUTHORISED, "an operator's token is needed", NULL);
 		return;
@@ -129,12 +130,12 @@
 	post_query(e, r, NULL, "drain", arg, NULL);
 }
 
-/* Lists that all cells contribute to. */
-static const struct list_entry {
+/* Paths of lists that are merged from the replies of all cells. */
+static const struct list_route {
 	const char *path;
 	const char *what;
-	bool operators;
-} lists[] = {
+	bool operators_only;
+} list_routes[] = {
 	{"/v1/jobs", "jobs", false},
 	{"/v1/organisations", "orgs", false},
 	{"/v1/workers", "workers", true},
@@ -142,27 +143,27 @@
 	{"/v1/audit", "audit", true},
 };
 
-/* Answer a list; false where the path is none. */
+/* Handles the lists; false if the path is not one of them. */
 static bool list_request(struct entry *e, struct http_request *r, const struct entry_view *v)
 {
-	for (size_t i = 0; i < ARRAY_LEN(lists); i++) {
+	for (size_t i = 0; i < ARRAY_LEN(list_routes); i++) {
 		const char *org = NULL;
 
-		if (strcmp(lists[i].path, http_path(r)) != 0 ||
+		if (strcmp(list_routes[i].path, http_path(r)) != 0 ||
 			strcmp(http_method(r), "GET") != 0)
 			continue;
-		if (lists[i].operators && !auth_operator(r, v->doc))
+		if (list_routes[i].operators_only && !auth_operator(r, v->doc))
 			http_reply_problem(
 				r, ERR_UNAUTHORISED, "an operator's token is needed", NULL);
-		else if (lists[i].operators || reader_org(r, v, &org))
-			post_query(e, r, NULL, lists[i].what, NULL, org);
+		else if (list_routes[i].operators_only || reader_org(r, v, &org))
+			post_query(e, r, NULL, list_routes[i].what, NULL, org);
 		return true;
 	}
 	return false;
 }
 
-/* Paths that need no configuration; false where the path is none of them. */
-static bool plain_request(struct entry *e, struct http_request *r)
+/* Handles metrics and health checks, which need no configuration; false for other paths. */
+static bool monitoring_request(struct entry *e, struct http_request *r)
 {
 	bool ready = !__atomic_load_n(&e->stopping, __ATOMIC_RELAXED);
 
@@ -184,7 +185,7 @@
 	return true;
 }
 
-/* Route a request that needs the configuration. */
+/* Routes a request that needs the configuration. */
 static void route(struct entry *e, struct http_request *r, const struct entry_view *v)
 {
 	const char *path = http_path(r);
@@ -203,7 +204,7 @@
 	}
 }
 
-/* A request to the entry's HTTP address. Runs on an HTTP thread. */
+/* Handles an HTTP request. Runs on an HTTP thread. */
 void entry_request(struct http_request *r, void *arg)
 {
 	struct entry *e = arg;
@@ -211,13 +212,13 @@
 
 	if (!__atomic_load_n(&e->store_up, __ATOMIC_RELAXED))
 		http_reply_header(r, "Damaskpath-Store", "down");
-	if (plain_request(e, r))
+	if (monitoring_request(e, r))
 		return;
 	rcu_enter();
 	v = rcu_read(&e->view);
 	if (v == NULL)
 		http_reply_problem(r, ERR_STORE_DOWN,
-			"this entry has not seen the configuration yet", NULL);
+			"this entry has not loaded the configuration yet", NULL);
 	else
 		route(e, r, v);
 	rcu_leave();
