--- a/packages/daemon/entry-config.c
+++ b/packages/daemon/entry-config.c
@@ -5,41 +5,42 @@
 #include <string.h>
 
 /*
- * A watch on the live keys says when to read again; a slow poll behind it catches what a
- * broken watch would miss. The configuration is adopted only forwards.
+ * Follows the configuration and the live keys in the store. A watch triggers a reload on each
+ * change; a periodic poll covers changes that a broken watch misses. An older configuration
+ * never replaces a newer one.
  */
 
-#define LIVE_PREFIX  STORE_PREFIX "live/"
-#define CELLS_PREFIX LIVE_PREFIX "cells/"
-#define ENTRY_PREFIX LIVE_PREFIX "entries/"
-#define POLL_PERIOD  (4 * NSEC_PER_SEC)
-#define WATCH_RETRY  (500 * NSEC_PER_MSEC)
-#define LEASE_S	     10
-#define LEASE_PERIOD (3 * NSEC_PER_SEC)
+#define LIVE_PREFIX	   STORE_PREFIX "live/"
+#define CELLS_PREFIX	   LIVE_PREFIX "cells/"
+#define ENTRY_PREFIX	   LIVE_PREFIX "entries/"
+#define POLL_PERIOD	   (4 * NSEC_PER_SEC)
+#define WATCH_RETRY_DELAY  (500 * NSEC_PER_MSEC)
+#define LEASE_TTL_S	   10
+#define LEASE_RENEW_PERIOD (3 * NSEC_PER_SEC)
 
 GAUGE(config_number, "damaskpath_config_number", "Configuration in force in this process.");
 GAUGE(config_age, "damaskpath_config_checked_age_ms",
 	"Time since the configuration was last compared with the store, in milliseconds.");
 GAUGE(store_gauge, "damaskpath_store_up", "1 if the store answered the last call.");
-COUNTER(config_backwards, "damaskpath_config_backwards_total",
+COUNTER(config_outdated, "damaskpath_config_backwards_total",
 	"Times that the store offered an older configuration, which was refused.");
 
-/* One reading of the live keys, on the pool. */
-struct reading {
+/* A load of the configuration and the live keys; runs on the pool. */
+struct config_read {
 	struct entry *entry;
 	struct entry_view *view;
 	bool ok;
 	GError *err;
 };
 
-/* Free a cell's description. */
+/* Frees a struct cell_term. */
 static void cell_free(void *p)
 {
 	cell_term_clear(p);
 	free(p);
 }
 
-/* Free a view; for rcu_publish. */
+/* Frees a view; the callback of rcu_publish. */
 void view_free(void *view)
 {
 	struct entry_view *v = view;
@@ -53,10 +54,10 @@
 	free(v);
 }
 
-/* Take one live key into a view. */
+/* Adds a live key to a view: an entry's lease or a cell's term. Ignores other keys. */
 static void read_live_key(struct entry_view *v, const struct store_kv *kv)
 {
-	const char *rest;
+	const char *cell;
 	const char *slash;
 	struct cell_term *t;
 	json_t *o;
@@ -67,23 +68,23 @@
 	}
 	if (!g_str_has_prefix(kv->key, CELLS_PREFIX))
 		return;
-	rest = kv->key + strlen(CELLS_PREFIX);
-	slash = strchr(rest, '/');
+	cell = kv->key + strlen(CELLS_PREFIX);
+	slash = strchr(cell, '/');
 	if (slash == NULL || strcmp(slash, "/term") != 0)
 		return;
 	o = json_loadb(kv->value.data, kv->value.len, 0, NULL);
 	t = xcalloc(1, sizeof(*t));
-	t->name = bytes_copy(rest, (size_t)(slash - rest)).data;
+	t->name = bytes_copy(cell, (size_t)(slash - cell)).data;
 	t->addr = xstrdup(json_string_value(json_object_get(o, "addr")));
 	t->term = (uint64_t)json_integer_value(json_object_get(o, "term"));
 	json_decref(o);
 	g_ptr_array_add(v->cells, t);
 }
 
-/* Read the configuration and the live keys. Runs on the pool. */
+/* Reads the configuration and the live keys. Runs on the pool. */
 static void read_run(void *arg)
 {
-	struct reading *r = arg;
+	struct config_read *r = arg;
 	struct store *s = r->entry->p->store;
 	struct store_range range;
 
@@ -97,15 +98,15 @@
 	r->view->doc = config_parse(&r->view->config);
 }
 
-/* Note whether the store answers. */
-static void note_store(struct entry *e, bool up, const GError *err)
+/* Records whether the store is reachable and logs a change. */
+static void set_store_up(struct entry *e, bool up, const GError *err)
 {
 	if (e->store_up != up) {
 		if (up)
-			log_info("entry", "The store answers again.");
+			log_info("entry", "The store is reachable again.");
 		else
 			log_warning("entry",
-				"The store does not answer: %s. The newest known "
+				"The store is unreachable: %s. The latest known "
 				"configuration stays in force.",
 				err->message);
 	}
@@ -113,19 +114,19 @@
 	counter_set(&store_gauge, up);
 }
 
-/* The reading is here: put it in force. Runs on the loop. */
+/* Publishes the view that was read. Runs on the loop. */
 static void read_done(void *arg)
 {
-	struct reading *r = arg;
+	struct config_read *r = arg;
 	struct entry *e = r->entry;
 	const struct entry_view *old = e->view;
-	bool backwards = !r->ok && error_kind_of(r->err) == ERR_CONFLICT;
+	bool conflict = !r->ok && error_kind_of(r->err) == ERR_CONFLICT;
 
 	e->config_loading = false;
-	note_store(e, r->ok || backwards, r->err);
-	if (backwards) {
-		counter_add(&config_backwards, 1);
-		log_error("entry", "The configuration was not adopted: %s.", r->err->message);
+	set_store_up(e, r->ok || conflict, r->err);
+	if (conflict) {
+		counter_add(&config_outdated, 1);
+		log_error("entry", "The configuration was rejected: %s.", r->err->message);
 	}
 	if (r->ok && r->view->doc != NULL) {
 		if (old == NULL || old->config.number != r->view->config.number) {
@@ -148,10 +149,10 @@
 	}
 }
 
-/* Read the configuration and the live keys again. */
+/* Reads the configuration and the live keys again; waits for a read that is in progress. */
 void config_refresh(struct entry *e)
 {
-	struct reading *r;
+	struct config_read *r;
 
 	if (e->config_loading) {
 		e->config_reload_pending = true;
@@ -167,13 +168,13 @@
 	work_submit(e->p->pool, read_run, read_done, r);
 }
 
-/* The posted half of a watch event. */
+/* Calls config_refresh on the loop. */
 static void refresh_posted(void *arg)
 {
 	config_refresh(arg);
 }
 
-/* The watch saw a change, or asks whether to go on. */
+/* Handles events of the watch; also called without any. Returns whether to continue. */
 static bool on_watch(const struct store_event *events, size_t len, int64_t revision, void *arg)
 {
 	struct entry *e = arg;
@@ -185,56 +186,63 @@
 	return !__atomic_load_n(&e->watch_stop, __ATOMIC_ACQUIRE);
 }
 
-/* The watch's thread: a broken watch is begun anew, after a reading. */
+/*
+ * Runs the watch. A broken watch is restarted at the current revision, with a reload for the
+ * changes in between.
+ */
 static void *watch_thread(void *arg)
 {
 	struct entry *e = arg;
-	struct timespec pause = {.tv_nsec = WATCH_RETRY};
+	struct timespec retry_delay = {.tv_nsec = WATCH_RETRY_DELAY};
 
 	while (!__atomic_load_n(&e->watch_stop, __ATOMIC_ACQUIRE)) {
 		struct store_range r;
 		int64_t from;
 
 		if (!store_get_range(e->p->store, LIVE_PREFIX "head", true, &r, NULL)) {
-			nanosleep(&pause, NULL);
+			nanosleep(&retry_delay, NULL);
 			continue;
 		}
 		from = r.revision + 1;
 		store_range_clear(&r);
 		loop_post(e->p->loop, refresh_posted, e);
 		if (!store_watch(e->p->store, LIVE_PREFIX, from, on_watch, e, NULL))
-			nanosleep(&pause, NULL);
+			nanosleep(&retry_delay, NULL);
 	}
 	return NULL;
 }
 
-/* Tell the other entries that we are there. Runs on the pool. */
+/*
+ * Renews the entry's lease or, if it has expired, takes a new one and registers the entry under
+ * it, so that every entry can count the others. Runs on the pool.
+ */
 static void lease_run(void *arg)
 {
 	struct entry *e = arg;
 	AUTOFREE char *key = NULL;
 	struct store_op op;
 	struct store_txn txn = {.ops = &op, .ops_len = 1};
-	int64_t left = 0;
+	int64_t ttl_s = 0;
 	int64_t revision;
 	bool ok;
 
-	if (e->lease_id != 0 && store_lease_keepalive(e->p->store, e->lease_id, &left, NULL) &&
-		left > 0)
+	if (e->lease_id != 0 && store_lease_keepalive(e->p->store, e->lease_id, &ttl_s, NULL) &&
+		ttl_s > 0)
 		return;
-	if (!store_lease_grant(e->p->store, LEASE_S, &e->lease_id, NULL))
+	if (!store_lease_grant(e->p->store, LEASE_TTL_S, &e->lease_id, NULL))
 		return;
 	xasprintf(&key, "%s%s", ENTRY_PREFIX, e->name);
 	op = (struct store_op){STORE_PUT, key, "{}", 2, e->lease_id};
 	store_run_txn(e->p->store, &txn, &ok, &revision, NULL);
 }
 
+/* Marks the renewal as done. Runs on the loop. */
 static void lease_done(void *arg)
 {
 	((struct entry *)arg)->lease_in_progress = false;
 }
 
-/* Start to follow the store. */
+/* Starts following the store. */
 void config_start(struct entry *e)
 {
 	e->config_loaded_at = loop_now(e->p->loop);
@@ -242,7 +250,7 @@
 	e->watch_started = pthread_create(&e->watch_thread, NULL, watch_thread, e) == 0;
 }
 
-/* Stop following the store. */
+/* Stops the watch and revokes the lease. */
 void config_stop(struct entry *e)
 {
 	__atomic_store_n(&e->watch_stop, true, __ATOMIC_RELEASE);
@@ -252,13 +260,14 @@
 		store_lease_revoke(e->p->store, e->lease_id, NULL);
 }
 
-/* Poll now and then, and renew our lease. */
+/* Polls the store and renews the lease when due. */
 void config_tick(struct entry *e, int64_t now)
 {
 	counter_set(&config_age, (uint64_t)((now - e->config_loaded_at) / NSEC_PER_MSEC));
 	if (now - e->config_loaded_at > POLL_PERIOD && !e->config_loading)
 		config_refresh(e);
-	if (!e->lease_in_progress && now - e->lease_checked_at > LEASE_PERIOD && !e->stopping) {
+	if (!e->lease_in_progress && now - e->lease_checked_at > LEASE_RENEW_PERIOD &&
+		!e->stopping) {
 		e->lease_in_progress = true;
 		e->lease_checked_at = now;
 		work_submit(e->p->pool, lease_run, lease_done, e);
