--- a/packages/daemon/entry-config-http.c
+++ b/packages/daemon/entry-config-http.c
@@ -4,8 +4,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* An edit or a question that has to go to the store, on the pool. */
-struct store_work {
+/* A request that is served from the store; runs on the pool. */
+struct store_request {
 	struct entry *entry;
 	struct http_request *request;
 	char *section;
@@ -14,8 +14,8 @@
 	uint64_t base;
 };
 
-/* Free a piece of work. */
-static void work_free(struct store_work *w)
+/* Frees a store request. */
+static void store_request_free(struct store_request *w)
 {
 	free(w->section);
 	free(w->text);
@@ -23,7 +23,7 @@
 	free(w);
 }
 
-/* Answer with JSON; owns o. */
+/* Answers with a JSON document and releases it. */
 static void reply_json(struct http_request *r, json_t *o)
 {
 	AUTOFREE char *text = json_dumps(o, JSON_COMPACT);
@@ -32,21 +32,25 @@
 	http_reply_text(r, 200, "application/json", text);
 }
 
-/* Answer an edit that was not accepted. */
-static void reply_refused(struct http_request *r, const GError *err,
-	const struct doc_problems *problems, const struct doc_section *now, const char *mine)
+/*
+ * Answers an edit that was rejected: with the problems found in it or, on a conflict, with the
+ * current section beside the submitted one.
+ */
+static void reply_edit_rejected(struct http_request *r, const GError *err,
+	const struct doc_problems *problems, const struct doc_section *current,
+	const char *submitted)
 {
 	AUTOFREE char *text = NULL;
 	json_t *extra = json_object();
-	char *open;
+	char *brace;
 
 	if (!STAILQ_EMPTY(problems))
 		json_object_set_new(extra, "problems", doc_problems_json(problems));
-	if (now->text != NULL) {
+	if (current->text != NULL) {
 		json_object_set_new(
-			extra, "current_number", json_integer((json_int_t)now->number));
-		json_object_set_new(extra, "current", json_string(now->text));
-		json_object_set_new(extra, "yours", json_string(mine));
+			extra, "current_number", json_integer((json_int_t)current->number));
+		json_object_set_new(extra, "current", json_string(current->text));
+		json_object_set_new(extra, "yours", json_string(submitted));
 	}
 	text = json_dumps(extra, JSON_COMPACT);
 	json_decref(extra);
@@ -54,22 +58,23 @@
 		http_reply_error(r, err);
 		return;
 	}
-	open = text;
-	*open = ',';
+	/* Extra members start with a comma and have no braces. */
+	brace = text;
+	*brace = ',';
 	text[strlen(text) - 1] = '\0';
 	http_reply_problem(r, error_kind_of(err), err->message, text);
 }
 
-/* The posted half of an accepted edit. */
+/* Calls config_refresh on the loop. */
 static void refresh_posted(void *arg)
 {
 	config_refresh(arg);
 }
 
-/* Write an edit. Runs on the pool. */
-static void put_run(void *arg)
+/* Writes an edit to the store. Runs on the pool. */
+static void put_section_run(void *arg)
 {
-	struct store_work *w = arg;
+	struct store_request *w = arg;
 	struct entry *e = w->entry;
 	struct doc_problems problems = STAILQ_HEAD_INITIALIZER(problems);
 	struct config_edit edit = {.section = w->section,
@@ -77,28 +82,28 @@
 		.base = w->base,
 		.who = w->who,
 		.wall_ns = clock_wall(loop_clock(e->p->loop))};
-	struct doc_section now = {0};
+	struct doc_section current = {0};
 	g_autoptr(GError) err = NULL;
 	uint64_t number = 0;
 
-	if (config_put(e->p->store, &edit, &number, &problems, &now, &err)) {
-		log_info("entry", "Section %s was changed by %s: edit %" PRIu64 ".", w->section,
-			w->who, number);
+	if (config_put(e->p->store, &edit, &number, &problems, &current, &err)) {
+		log_info("entry", "Section %s was changed by %s in edit %" PRIu64 ".",
+			w->section, w->who, number);
 		loop_post(e->p->loop, refresh_posted, e);
 		reply_json(w->request, json_pack("{s:s,s:I}", "section", w->section, "number",
 					       (json_int_t)number));
 	} else {
-		reply_refused(w->request, err, &problems, &now, w->text);
+		reply_edit_rejected(w->request, err, &problems, &current, w->text);
 	}
-	free(now.text);
+	free(current.text);
 	doc_problems_clear(&problems);
-	work_free(w);
+	store_request_free(w);
 }
 
-/* Read the trail of edits. Runs on the pool. */
+/* Reads the history of edits. Runs on the pool. */
 static void history_run(void *arg)
 {
-	struct store_work *w = arg;
+	struct store_request *w = arg;
 	g_autoptr(GError) err = NULL;
 	json_t *o = config_history(w->entry->p->store, &err);
 
@@ -106,10 +111,10 @@
 		reply_json(w->request, o);
 	else
 		http_reply_error(w->request, err);
-	work_free(w);
+	store_request_free(w);
 }
 
-/* GET /v1/config: the sections in force, with the edit that made each. */
+/* GET /v1/config: the sections in force, with the number of each one's last edit. */
 static void list_sections(struct http_request *r, const struct entry_view *v)
 {
 	json_t *sections = json_array();
@@ -130,15 +135,15 @@
 	const struct doc_section *s = config_find(&v->config, section);
 
 	if (s == NULL) {
-		http_reply_problem(r, ERR_NOT_FOUND, "there is no such section", NULL);
+		http_reply_problem(r, ERR_NOT_FOUND, "the section does not exist", NULL);
 		return;
 	}
 	reply_json(r, json_pack("{s:s,s:I,s:s}", "section", s->name, "number",
 			      (json_int_t)s->number, "text", s->text));
 }
 
-/* GET /v1/config-status: what is in force in this process. */
-static void status(struct entry *e, struct http_request *r, const struct entry_view *v)
+/* GET /v1/config-status: the configuration in force in this process. */
+static void get_status(struct entry *e, struct http_request *r, const struct entry_view *v)
 {
 	int64_t age = clock_now(loop_clock(e->p->loop)) -
 		      __atomic_load_n(&e->config_loaded_at, __ATOMIC_RELAXED);
@@ -150,21 +155,22 @@
 			      (int)v->entries_count));
 }
 
-/* PUT /v1/config/SECTION?base=N. */
+/* PUT /v1/config/SECTION?base=N&who=NAME. */
 static void put_section(struct entry *e, struct http_request *r, const struct entry_view *v,
 	const char *section)
 {
 	const char *base = http_query(r, "base");
 	const char *who = http_query(r, "who");
-	struct store_work *w;
+	struct store_request *w;
 
 	if (!auth_team(r, v->doc, section)) {
 		http_reply_problem(r, ERR_UNAUTHORISED,
-			"a token of the section's team or an operator's is needed", NULL);
+			"a token of the section's team or of an operator is needed", NULL);
 		return;
 	}
 	if (strlen(http_body(r)->data ? http_body(r)->data : "") != http_body(r)->len) {
-		http_reply_problem(r, ERR_INVALID, "the section must be text", NULL);
+		http_reply_problem(
+			r, ERR_INVALID, "the section must be text without NUL bytes", NULL);
 		return;
 	}
 	w = xcalloc(1, sizeof(*w));
@@ -174,10 +180,10 @@
 	w->text = xstrdup(http_body(r)->data);
 	w->who = xstrdup(who != NULL && strlen(who) < JOB_NAME_MAX ? who : "unnamed");
 	w->base = base != NULL ? strtoull(base, NULL, 10) : 0;
-	work_submit(e->p->pool, put_run, NULL, w);
+	work_submit(e->p->pool, put_section_run, NULL, w);
 }
 
-/* Requests about the configuration; false where the path is none of them. */
+/* Handles requests for the configuration; false for other paths. */
 bool config_request(struct entry *e, struct http_request *r, const struct entry_view *v)
 {
 	const char *path = http_path(r);
@@ -191,9 +197,9 @@
 		   strcmp(http_method(r), "PUT") == 0) {
 		put_section(e, r, v, path + strlen("/v1/config/"));
 	} else if (strcmp(path, "/v1/config-status") == 0 && get) {
-		status(e, r, v);
+		get_status(e, r, v);
 	} else if (strcmp(path, "/v1/config-history") == 0 && get) {
-		struct store_work *w = xcalloc(1, sizeof(*w));
+		struct store_request *w = xcalloc(1, sizeof(*w));
 
 		w->entry = e;
 		w->request = r;
