--- a/packages/daemon/entry-submit.c
+++ b/packages/daemon/entry-submit.c
@@ -4,77 +4,81 @@
 #include <string.h>
 #include <xxhash.h>
 
-#define ID_BYTES       8
-#define RUN_TIME_MAX_S (90 * 86400.0)
+#define RANDOM_ID_BYTES	 8
+#define RUN_TIME_MAX_S	 (90 * 86400.0)
+#define PAYLOAD_TYPE_MAX 128
+#define CORES_MAX	 100000
+#define MEMORY_MB_MAX	 100000000
 
 COUNTER(jobs_accepted, "damaskpath_submissions_total", "Valid submissions.");
 COUNTER(jobs_limited, "damaskpath_submissions_limited_total",
 	"Submissions refused by a limit of this entry.");
 
-/* The members that the body of a submission may have, with their types. */
+/* The members that the body of a submission may have, with their types and limits. */
 enum body_type {
 	BODY_TEXT,
 	BODY_COUNT,
 	BODY_SECONDS,
 	BODY_BOOL
 };
-static const struct body_key {
+static const struct body_member {
 	const char *name;
 	enum body_type type;
 	double max;
-} body_keys[] = {
+} body_members[] = {
 	{"organisation", BODY_TEXT, JOB_NAME_MAX},
 	{"class", BODY_TEXT, JOB_NAME_MAX},
 	{"kind", BODY_TEXT, JOB_NAME_MAX},
 	{"within", BODY_TEXT, JOB_NAME_MAX},
 	{"payload", BODY_TEXT, JOB_PAYLOAD_MAX},
 	{"payload_base64", BODY_TEXT, JOB_PAYLOAD_MAX * 4.0 / 3 + 4},
-	{"payload_type", BODY_TEXT, 128},
+	{"payload_type", BODY_TEXT, PAYLOAD_TYPE_MAX},
 	{"accelerators", BODY_COUNT, JOB_ACCELERATORS_MAX},
-	{"cores", BODY_COUNT, 100000},
-	{"memory_mb", BODY_COUNT, 100000000},
+	{"cores", BODY_COUNT, CORES_MAX},
+	{"memory_mb", BODY_COUNT, MEMORY_MB_MAX},
 	{"run_time_s", BODY_SECONDS, RUN_TIME_MAX_S},
 	{"deadline_s", BODY_SECONDS, RUN_TIME_MAX_S},
 	{"idempotent", BODY_BOOL, 0},
 	{"checkpoint", BODY_BOOL, 0},
 };
 
-/* Whether a member has the type and size of its key. */
-static bool check_member(const struct body_key *k, const json_t *v, GError **err)
+/* Checks the type and size of a member. */
+static bool check_member(const struct body_member *m, const json_t *v, GError **err)
 {
 	double n;
 
-	switch (k->type) {
+	switch (m->type) {
 	case BODY_TEXT:
-		if (json_is_string(v) && (double)json_string_length(v) < k->max)
+		if (json_is_string(v) && (double)json_string_length(v) < m->max)
 			return true;
-		error_set(err, ERR_INVALID, "%s must be text of less than %.0f bytes", k->name,
-			k->max);
+		error_set(err, ERR_INVALID, "%s must be a string of less than %.0f bytes",
+			m->name, m->max);
 		return false;
 	case BODY_COUNT:
 		n = json_is_integer(v) ? (double)json_integer_value(v) : -1;
-		if (n >= 0 && n <= k->max)
+		if (n >= 0 && n <= m->max)
 			return true;
-		error_set(err, ERR_INVALID, "%s must be a whole number from 0 to %.0f", k->name,
-			k->max);
+		error_set(err, ERR_INVALID, "%s must be an integer from 0 to %.0f", m->name,
+			m->max);
 		return false;
 	case BODY_SECONDS:
 		n = json_is_number(v) ? json_number_value(v) : -1;
-		if (n > 0 && n <= k->max)
+		if (n > 0 && n <= m->max)
 			return true;
-		error_set(err, ERR_INVALID, "%s must be seconds, above 0 and up to %.0f",
-			k->name, k->max);
+		error_set(err, ERR_INVALID,
+			"%s must be a number of seconds above 0 and up to %.0f", m->name,
+			m->max);
 		return false;
 	case BODY_BOOL:
 		if (json_is_boolean(v))
 			return true;
-		error_set(err, ERR_INVALID, "%s must be true or false", k->name);
+		error_set(err, ERR_INVALID, "%s must be true or false", m->name);
 		return false;
 	}
 	return false;
 }
 
-/* Check all members of a body; unknown ones are refused by name. */
+/* Checks all members of a body and rejects unknown ones. */
 static bool check_body(const json_t *body, GError **err)
 {
 	const char *name;
@@ -85,63 +89,64 @@
 		return false;
 	}
 	json_object_foreach((json_t *)body, name, v) {
-		const struct body_key *k = NULL;
+		const struct body_member *m = NULL;
 
-		for (size_t i = 0; i < ARRAY_LEN(body_keys); i++) {
-			if (strcmp(body_keys[i].name, name) == 0)
-				k = &body_keys[i];
+		for (size_t i = 0; i < ARRAY_LEN(body_members); i++) {
+			if (strcmp(body_members[i].name, name) == 0)
+				m = &body_members[i];
 		}
-		if (k == NULL) {
+		if (m == NULL) {
 			error_set(err, ERR_INVALID, "unknown member %s", name);
 			return false;
 		}
-		if (!check_member(k, v, err))
+		if (!check_member(m, v, err))
 			return false;
 	}
 	return true;
 }
 
-/* A text member, copied; NULL where it is absent. */
-static char *text_of(const json_t *body, const char *name)
+/* Returns a copy of a string member, or NULL if it is absent. */
+static char *member_text(const json_t *body, const char *name)
 {
 	return xstrdup(json_string_value(json_object_get(body, name)));
 }
 
-/* A count member; 0 where it is absent. */
-static uint32_t count_of(const json_t *body, const char *name)
+/* Returns an integer member, or 0 if it is absent. */
+static uint32_t member_count(const json_t *body, const char *name)
 {
 	return (uint32_t)json_integer_value(json_object_get(body, name));
 }
 
-/* A member in seconds, as milliseconds; 0 where it is absent. */
-static int64_t millis_of(const json_t *body, const char *name)
+/* Returns a member in seconds as milliseconds, or 0 if it is absent. */
+static int64_t member_ms(const json_t *body, const char *name)
 {
 	return (int64_t)(json_number_value(json_object_get(body, name)) * 1000.0);
 }
 
-/* Take the payload out of the body. */
-static bool take_payload(const json_t *body, struct job_spec *s, GError **err)
+/* Sets the payload from the body, which has it as plain text or in base64. */
+static bool parse_payload(const json_t *body, struct job_spec *s, GError **err)
 {
 	const json_t *plain = json_object_get(body, "payload");
-	const char *coded = json_string_value(json_object_get(body, "payload_base64"));
+	const char *encoded = json_string_value(json_object_get(body, "payload_base64"));
 
-	if (plain != NULL && coded != NULL) {
-		error_set(err, ERR_INVALID, "payload and payload_base64 exclude each other");
+	if (plain != NULL && encoded != NULL) {
+		error_set(
+			err, ERR_INVALID, "payload and payload_base64 are mutually exclusive");
 		return false;
 	}
 	if (plain != NULL) {
 		s->payload = bytes_copy(json_string_value(plain), json_string_length(plain));
-	} else if (coded != NULL) {
+	} else if (encoded != NULL) {
 		gsize len = 0;
-		g_autofree guchar *raw = g_base64_decode(coded, &len);
+		g_autofree guchar *raw = g_base64_decode(encoded, &len);
 
 		s->payload = bytes_copy(raw, len);
 	}
 	return true;
 }
 
-/* Fill a job from a checked body. */
-static bool fill_spec(const json_t *body, struct job_spec *s, GError **err)
+/* Fills a job's specification from a checked body. */
+static bool parse_spec(const json_t *body, struct job_spec *s, GError **err)
 {
 	const char *within = json_string_value(json_object_get(body, "within"));
 	enum adjacency a = ADJACENCY_ANY;
@@ -150,43 +155,46 @@
 		error_set(err, ERR_INVALID, "within must be any, rack or worker");
 		return false;
 	}
-	s->org = text_of(body, "organisation");
-	s->class_name = text_of(body, "class");
-	s->kind = text_of(body, "kind");
-	s->payload_type = text_of(body, "payload_type");
+	s->org = member_text(body, "organisation");
+	s->class_name = member_text(body, "class");
+	s->kind = member_text(body, "kind");
+	s->payload_type = member_text(body, "payload_type");
 	s->adjacency = a;
-	s->accelerators = count_of(body, "accelerators");
-	s->cores = count_of(body, "cores");
-	s->memory_mb = count_of(body, "memory_mb");
+	s->accelerators = member_count(body, "accelerators");
+	s->cores = member_count(body, "cores");
+	s->memory_mb = member_count(body, "memory_mb");
 	s->idempotent = json_is_true(json_object_get(body, "idempotent"));
 	s->checkpoint = json_is_true(json_object_get(body, "checkpoint"));
-	s->run_time_ms = millis_of(body, "run_time_s");
-	s->deadline_ms = millis_of(body, "deadline_s");
+	s->run_time_ms = member_ms(body, "run_time_s");
+	s->deadline_ms = member_ms(body, "deadline_s");
 	if (s->org == NULL || *s->org == '\0') {
 		error_set(err, ERR_INVALID, "organisation is missing");
 		return false;
 	}
-	return take_payload(body, s, err);
+	return parse_payload(body, s, err);
 }
 
-/* Take over what the document says of the job's class. */
+/*
+ * Sets the priority and urgency of the job's class. A job without a class gets the class with
+ * the highest priority number.
+ */
 static bool apply_class(const struct doc *d, struct job_spec *s, GError **err)
 {
 	const struct doc_class *c;
 
 	if (s->class_name == NULL) {
-		const struct doc_class *last = NULL;
+		const struct doc_class *default_class = NULL;
 
 		STAILQ_FOREACH(c, &d->classes, entry)
 		{
-			if (last == NULL || c->priority > last->priority)
-				last = c;
+			if (default_class == NULL || c->priority > default_class->priority)
+				default_class = c;
 		}
-		s->class_name = xstrdup(last != NULL ? last->name : "");
+		s->class_name = xstrdup(default_class != NULL ? default_class->name : "");
 	}
 	c = doc_find_class(d, s->class_name);
 	if (c == NULL) {
-		error_set(err, ERR_INVALID, "there is no class %s", s->class_name);
+		error_set(err, ERR_INVALID, "class %s does not exist", s->class_name);
 		return false;
 	}
 	s->priority = c->priority;
@@ -194,7 +202,10 @@
 	return true;
 }
 
-/* Choose a cell for a key: the highest hash wins, so most keys stay when cells change. */
+/*
+ * Chooses a cell for a key by rendezvous hashing, so that most keys keep their cell when cells
+ * are added or removed.
+ */
 static const char *cell_for_key(const struct entry_view *v, const char *org, const char *key)
 {
 	AUTOFREE char *text = NULL;
@@ -205,20 +216,20 @@
 	xasprintf(&text, "%s\n%s", org, key);
 	STAILQ_FOREACH(c, &v->doc->cells, entry)
 	{
-		uint64_t h = XXH64(text, strlen(text), XXH64(c->name, strlen(c->name), 0));
+		uint64_t hash = XXH64(text, strlen(text), XXH64(c->name, strlen(c->name), 0));
 
-		if (best == NULL || h > best_hash) {
+		if (best == NULL || hash > best_hash) {
 			best = c->name;
-			best_hash = h;
+			best_hash = hash;
 		}
 	}
 	return best;
 }
 
-/* Choose a cell for a job without a key. */
+/* Chooses a random cell for a job without a key. */
 static const char *cell_for_job(const struct entry_view *v)
 {
-	uint64_t pick = random_u64();
+	uint64_t chosen = random_u64();
 	const struct doc_cell *c;
 	uint64_t n = 0;
 
@@ -226,16 +237,19 @@
 	n++;
 	if (n == 0)
 		return NULL;
-	pick %= n;
+	chosen %= n;
 	STAILQ_FOREACH(c, &v->doc->cells, entry)
 	{
-		if (pick-- == 0)
+		if (chosen-- == 0)
 			return c->name;
 	}
 	return NULL;
 }
 
-/* Give a job its id, "CELL~HEX": with a key it is the same wherever the request goes. */
+/*
+ * Sets the job's cell and its id, "CELL~HEX". With a key both are derived from the organisation
+ * and the key, so a repeated request gets the same id at any entry.
+ */
 static bool set_id(
 	struct open_job *j, const struct entry_view *v, const char *key, GError **err)
 {
@@ -247,7 +261,7 @@
 	}
 	j->cell = xstrdup(cell);
 	if (key == NULL) {
-		AUTOFREE char *hex = random_hex(ID_BYTES);
+		AUTOFREE char *hex = random_hex(RANDOM_ID_BYTES);
 
 		xasprintf(&j->spec.id, "%s~%s", cell, hex);
 	} else {
@@ -262,26 +276,26 @@
 	return true;
 }
 
-/* What two requests with one key must share. */
+/* Returns the digest of a body; requests with the same key must have the same one. */
 static char *fingerprint(const struct bytes *body)
 {
 	return g_compute_checksum_for_data(G_CHECKSUM_SHA256, body->data, body->len);
 }
 
-/* The posted half of a submission. */
-static void open_posted(void *arg)
+/* Calls job_open on the loop. */
+static void job_open_posted(void *arg)
 {
 	job_open(arg);
 }
 
-/* Check what the document and this entry allow. */
-static bool admit(struct entry *e, struct http_request *r, const struct entry_view *v,
+/* Checks the caller's token, the payload limit, the class and the limits of this entry. */
+static bool check_admission(struct entry *e, struct http_request *r, const struct entry_view *v,
 	struct job_spec *s, GError **err)
 {
 	const struct doc_org *o = doc_find_org(v->doc, s->org);
 
 	if (o == NULL) {
-		error_set(err, ERR_FORBIDDEN, "there is no organisation %s", s->org);
+		error_set(err, ERR_FORBIDDEN, "organisation %s does not exist", s->org);
 		return false;
 	}
 	if (!auth_org(r, v->doc, o)) {
@@ -303,13 +317,14 @@
 	}
 	if (__atomic_load_n(&e->open_count, __ATOMIC_RELAXED) >= e->open_max) {
 		counter_add(&jobs_limited, 1);
-		error_set(err, ERR_OVERLOAD, "this entry has as many open requests as it may");
+		error_set(
+			err, ERR_OVERLOAD, "this entry has reached its limit of open requests");
 		return false;
 	}
 	return true;
 }
 
-/* Make an open job of a request; NULL with an error. */
+/* Creates an open job from a request; NULL on error. */
 static struct open_job *parse_job(
 	struct entry *e, struct http_request *r, const struct entry_view *v, GError **err)
 {
@@ -317,24 +332,24 @@
 	const char *prefer = http_header(r, "Prefer");
 	const struct bytes *body = http_body(r);
 	struct open_job *j = xcalloc(1, sizeof(*j));
-	json_error_t where;
-	json_t *o = json_loadb(body->data, body->len, JSON_REJECT_DUPLICATES, &where);
-	bool ok = o != NULL;
+	json_error_t json_err;
+	json_t *root = json_loadb(body->data, body->len, JSON_REJECT_DUPLICATES, &json_err);
+	bool ok = root != NULL;
 
 	j->entry = e;
 	j->request = r;
 	if (!ok)
 		error_set(err, ERR_INVALID,
-			"the body is not valid JSON: line %d, column %d: %s", where.line,
-			where.column, where.text);
+			"the body is not valid JSON: line %d, column %d: %s", json_err.line,
+			json_err.column, json_err.text);
 	if (key != NULL && (*key == '\0' || strlen(key) > JOB_KEY_MAX)) {
 		error_set(err, ERR_INVALID, "Idempotency-Key must have 1 to %d bytes",
 			JOB_KEY_MAX);
 		ok = false;
 	}
-	ok = ok && check_body(o, err) && fill_spec(o, &j->spec, err) &&
-	     admit(e, r, v, &j->spec, err) && set_id(j, v, key, err);
-	json_decref(o);
+	ok = ok && check_body(root, err) && parse_spec(root, &j->spec, err) &&
+	     check_admission(e, r, v, &j->spec, err) && set_id(j, v, key, err);
+	json_decref(root);
 	if (!ok) {
 		open_job_free(j);
 		return NULL;
@@ -361,5 +376,5 @@
 	}
 	counter_add(&jobs_accepted, 1);
 	__atomic_fetch_add(&e->open_count, 1, __ATOMIC_RELAXED);
-	loop_post(e->p->loop, open_posted, j);
+	loop_post(e->p->loop, job_open_posted, j);
 }
