--- a/packages/daemon/entry-config.c
+++ b/packages/daemon/entry-config.c
@@ -149,7 +149,8 @@
 	}
 }
 
-/* Reads the configuration and the live keys again; waits for a read that is in progress. */
+/* Reads the configuration and the live keys again. A read in progress is followed by another.
+ */
 void config_refresh(struct entry *e)
 {
 	struct config_read *r;
