--- a/packages/daemon/entry.c
+++ b/packages/daemon/entry.c
@@ -3,21 +3,22 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define ENTRY_TICK (200 * NSEC_PER_MSEC)
+#define TICK_PERIOD	 (200 * NSEC_PER_MSEC)
+#define STOPPING_RETRY_S 1
 
-/* Several times a second. */
-static void on_tick(void *arg)
+/* Runs the periodic work of the entry. */
+static void on_timer(void *arg)
 {
 	struct entry *e = arg;
 	int64_t now = loop_now(e->p->loop);
 
 	config_tick(e, now);
 	links_tick(e, now);
-	job_tick(e, now);
-	query_tick(e, now);
+	jobs_check_timeouts(e, now);
+	queries_check_timeouts(e, now);
 }
 
-/* Start an entry. */
+/* Creates an entry and starts serving HTTP. */
 struct entry *entry_new(struct process *p, GError **err)
 {
 	struct entry *e = xcalloc(1, sizeof(*e));
@@ -39,11 +40,11 @@
 	e->open_max = (uint32_t)options_number(o, "open-max");
 	e->store_up = true;
 	e->links = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, link_free);
-	e->jobs = g_hash_table_new(g_str_hash, g_str_equal);
+	e->jobs_by_id = g_hash_table_new(g_str_hash, g_str_equal);
 	e->queries = g_hash_table_new(g_int64_hash, g_int64_equal);
-	e->rates = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	LIST_INIT(&e->jobs_head);
-	pthread_mutex_init(&e->rates_lock, NULL);
+	e->rate_buckets = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+	LIST_INIT(&e->open_jobs);
+	pthread_mutex_init(&e->rate_lock, NULL);
 	e->net = peer_net_new(p->loop, p->keys, &events);
 	e->http = http_server_new(options_string(o, "http"), &limits, entry_request, e, err);
 	if (e->http == NULL) {
@@ -53,59 +54,62 @@
 	e->name = xstrdup(*options_string(o, "name") ? options_string(o, "name")
 						     : http_server_addr(e->http));
 	config_start(e);
-	e->tick = loop_timer_add(p->loop, ENTRY_TICK, ENTRY_TICK, on_tick, e);
-	log_info("entry", "Entry %s is up. http=%s", e->name, http_server_addr(e->http));
+	e->timer = loop_timer_add(p->loop, TICK_PERIOD, TICK_PERIOD, on_timer, e);
+	log_info("entry", "Entry %s started. http=%s", e->name, http_server_addr(e->http));
 	return e;
 }
 
-/* Begin a graceful stop: not ready, no new connections; answers still go out. */
+/*
+ * Begins a graceful stop: /readyz reports not ready and new submissions are refused, but open
+ * requests are still answered.
+ */
 void entry_stop(struct entry *e)
 {
 	__atomic_store_n(&e->stopping, true, __ATOMIC_RELAXED);
 }
 
-/* Whether no caller waits any more. */
+/* Returns whether no request is waiting for an answer. */
 bool entry_idle(const struct entry *e)
 {
-	return LIST_EMPTY(&e->jobs_head) && g_hash_table_size(e->queries) == 0 &&
+	return LIST_EMPTY(&e->open_jobs) && g_hash_table_size(e->queries) == 0 &&
 	       http_server_open(e->http) == 0;
 }
 
-/* Answer whoever still waits, at the end of a stop that hit its limit. */
-static void drop_open(struct entry *e)
+/* Fails the jobs that are still open when a graceful stop reaches its time limit. */
+static void fail_open_jobs(struct entry *e)
 {
 	struct open_job *j;
 
-	while ((j = LIST_FIRST(&e->jobs_head)) != NULL) {
+	while ((j = LIST_FIRST(&e->open_jobs)) != NULL) {
 		LIST_REMOVE(j, link);
 		http_reply_outcome(j->request, ERR_DRAINING,
-			"this entry is stopping; ask another one for the job", !j->sent, 1,
-			NULL);
+			"this entry is stopping; ask another entry for the job", !j->sent,
+			STOPPING_RETRY_S, NULL);
 		open_job_free(j);
 	}
 }
 
-/* Stop at once. */
+/* Stops the entry immediately and frees it. */
 void entry_free(struct entry *e)
 {
 	if (e == NULL)
 		return;
-	drop_open(e);
+	fail_open_jobs(e);
 	config_stop(e);
-	loop_timer_del(e->p->loop, e->tick);
+	loop_timer_del(e->p->loop, e->timer);
 	http_server_free(e->http);
 	peer_net_free(e->net);
 	view_free(e->view);
 	g_hash_table_destroy(e->links);
-	g_hash_table_destroy(e->jobs);
+	g_hash_table_destroy(e->jobs_by_id);
 	g_hash_table_destroy(e->queries);
-	g_hash_table_destroy(e->rates);
-	pthread_mutex_destroy(&e->rates_lock);
+	g_hash_table_destroy(e->rate_buckets);
+	pthread_mutex_destroy(&e->rate_lock);
 	free(e->name);
 	free(e);
 }
 
-/* Where callers reach the entry. */
+/* Returns the address of the HTTP server. */
 const char *entry_http_addr(const struct entry *e)
 {
 	return http_server_addr(e->http);
