--- a/packages/state/kv.h
+++ b/packages/state/kv.h
@@ -4,22 +4,22 @@
 #include "base.h"
 
 /*
- * A key-value store that is called from a loop without blocking it. Every answer comes on the
- * loop through the callback, once; results are valid only during it.
+ * Asynchronous client of the key-value store. Each call invokes its callback exactly once, on
+ * the event loop. The result is valid only during the callback.
  */
 struct kv;
 
-/* What an answer, or its absence, proves. */
+/* Outcome of a call. */
 enum kv_status {
-	/* The call was carried out. */
+	/* The call succeeded. */
 	KV_OK,
-	/* A condition did not hold: nothing was written; items hold what stands there now. */
+	/* A condition failed and nothing was written. items hold the current values. */
 	KV_CONFLICT,
-	/* The key, the lease or the history asked for does not exist. */
+	/* The requested key, lease or history does not exist. */
 	KV_MISSING,
-	/* Refused: nothing was done. */
+	/* The store rejected the call without executing it. */
 	KV_REFUSED,
-	/* No usable answer: a write may have been done, or may be done seconds later. */
+	/* No usable response: a write may be applied already, or seconds later. */
 	KV_UNSURE
 };
 const char *kv_status_name(enum kv_status s);
@@ -27,7 +27,7 @@
 struct kv_item {
 	char *key;
 	struct bytes value;
-	/* Store revision of the last change; 0 where the key does not exist. */
+	/* Store revision of the last change; 0 if the key does not exist. */
 	int64_t revision;
 	bool deleted;
 };
@@ -36,18 +36,18 @@
 	enum kv_status status;
 	struct kv_item *items;
 	size_t items_len;
-	/* The store's revision as of the answer; of the change, after a transaction. */
+	/* Store revision of the response; for a transaction, the revision of its change. */
 	int64_t at;
-	/* Whether a list goes on behind its last item. */
+	/* Whether the list continues after its last item. */
 	bool more;
 	int64_t lease;
 	int64_t ttl_ms;
-	/* When the call was sent, on the loop's clock: what it proves held after that. */
+	/* Loop time at which the call was sent; what the result proves held after that. */
 	int64_t sent;
 };
 typedef void kv_fn(const struct kv_result *r, void *arg);
 
-/* Holds when the key's last change has this revision; 0 means that the key is absent. */
+/* True when the key was last changed at this revision. Revision 0 matches an absent key. */
 struct kv_expect {
 	const char *key;
 	int64_t revision;
@@ -58,7 +58,7 @@
 	size_t len;
 	int64_t lease;
 };
-#define KV_TXN_MAX 32 /* conditions, writes and removals of one transaction */
+#define KV_TXN_MAX 32 /* conditions, writes and removals per transaction */
 struct kv_txn {
 	struct kv_expect expect[KV_TXN_MAX];
 	size_t expect_len;
@@ -66,13 +66,13 @@
 	size_t write_len;
 	const char *remove[KV_TXN_MAX];
 	size_t remove_len;
-	/* Nanoseconds after which the call counts as unanswered; 0 for the store's default. */
+	/* Timeout in nanoseconds; 0 selects the store's default. */
 	int64_t timeout;
 };
 
 enum kv_read {
 	KV_READ_EXACT,
-	/* Cheap, and may be seconds old. */
+	/* Cheaper, but may return data that is seconds old. */
 	KV_READ_STALE
 };
 
@@ -85,13 +85,13 @@
 void kv_lease_grant(struct kv *kv, int64_t ttl_ms, kv_fn *fn, void *arg);
 void kv_lease_keep(struct kv *kv, int64_t lease, kv_fn *fn, void *arg);
 void kv_lease_end(struct kv *kv, int64_t lease, kv_fn *fn, void *arg);
-/* Calls under way; a process that stops waits for them. */
+/* Number of calls in flight; a process waits for them before it exits. */
 unsigned int kv_open(const struct kv *kv);
-/* Whether the store does not serve this process and calls go through another. */
+/* Whether calls go through another process because the store does not serve this one. */
 bool kv_detoured(const struct kv *kv);
 /*
- * For how long calls have been open without the store answering any call; 0 where none are, or
- * where calls get through another process.
+ * Nanoseconds for which calls have been in flight without a response from the store to any of
+ * them; 0 if none are in flight or if calls go through another process.
  */
 int64_t kv_silence(const struct kv *kv);
 
