--- a/packages/standin/standin-store.c
+++ b/packages/standin/standin-store.c
@@ -74,7 +74,7 @@
 
 	store_get_range(store, key, json_object_get(in, "range_end") == NULL, &r, NULL);
 	for (size_t i = 0; i < r.len; i++)
-		json_array_append_new(kvs, store_json_kv(&r.kvs[i]));
+		json_array_append_new(kvs, store_json_encode_kv(&r.kvs[i]));
 	out = with_header(r.revision);
 	store_json_set_int(out, "count", (int64_t)r.len);
 	json_object_set_new(out, "kvs", kvs);
@@ -90,8 +90,8 @@
 	struct store_compare out = {.key = text_member(c, "key"),
 		.target = mod ? STORE_MOD_REVISION : STORE_CREATE_REVISION};
 
-	out.revision =
-		store_json_int(json_object_get(c, mod ? "mod_revision" : "create_revision"));
+	out.revision = store_json_get_int(
+		json_object_get(c, mod ? "mod_revision" : "create_revision"));
 	g_ptr_array_add(keys, (char *)out.key);
 	return out;
 }
@@ -108,7 +108,7 @@
 	store_json_decode64(json_object_get(in, "value"), &value);
 	op.value = value.data;
 	op.len = value.len;
-	op.lease = store_json_int(json_object_get(in, "lease"));
+	op.lease = store_json_get_int(json_object_get(in, "lease"));
 	g_ptr_array_add(keys, (char *)op.key);
 	g_ptr_array_add(keys, value.data);
 	return op;
@@ -145,8 +145,8 @@
 static json_t *do_lease(const char *what, const json_t *in)
 {
 	json_t *out = json_object();
-	int64_t id = store_json_int(json_object_get(in, "ID"));
-	int64_t ttl = store_json_int(json_object_get(in, "TTL"));
+	int64_t id = store_json_get_int(json_object_get(in, "ID"));
+	int64_t ttl = store_json_get_int(json_object_get(in, "TTL"));
 
 	if (strcmp(what, "grant") == 0) {
 		store_lease_grant(store, ttl, &id, NULL);
@@ -185,7 +185,7 @@
 		return false;
 	}
 	for (size_t i = 0; i < len; i++) {
-		json_t *ev = json_pack("{s:o}", "kv", store_json_kv(&events[i].kv));
+		json_t *ev = json_pack("{s:o}", "kv", store_json_encode_kv(&events[i].kv));
 
 		if (events[i].deleted)
 			json_object_set_new(ev, "type", json_string("DELETE"));
@@ -242,7 +242,7 @@
 	enum MHD_Result res;
 
 	w->prefix = text_member(create, "key");
-	w->from = store_json_int(json_object_get(create, "start_revision"));
+	w->from = store_json_get_int(json_object_get(create, "start_revision"));
 	w->out = g_string_new("{\"result\":{\"created\":true}}\n");
 	r = MHD_create_response_from_callback(
 		MHD_SIZE_UNKNOWN, 4096, read_watch, w, free_watch);
--- a/packages/state/state.h
+++ b/packages/state/state.h
@@ -10,7 +10,7 @@
 #define STORE_PREFIX	"/damaskpath/"
 #define STORE_VALUE_MAX (1024 * 1024)
 
-/* store.c: the platform's key-value service. All calls block and may come from any thread. */
+/* store.c: client interface of the key-value store. Calls block and are thread-safe. */
 struct store_kv {
 	char *key;
 	struct bytes value;
@@ -27,7 +27,7 @@
 	STORE_CREATE_REVISION,
 	STORE_MOD_REVISION
 };
-/* Holds when the key's revision of the given sort equals revision; 0 means absent. */
+/* True when the key's target revision equals revision. Revision 0 matches an absent key. */
 struct store_compare {
 	const char *key;
 	enum store_target target;
@@ -54,7 +54,10 @@
 	bool deleted;
 	struct store_kv kv;
 };
-/* Events of one revision; NULL events now and then, to ask whether to go on. */
+/*
+ * Receives the events of one revision. It is also called periodically with NULL events. The
+ * watch ends when it returns false.
+ */
 typedef bool store_watch_fn(
 	const struct store_event *events, size_t len, int64_t revision, void *arg);
 
@@ -82,25 +85,28 @@
 /* store-etcd.c */
 struct store *store_etcd_new(const char *url, int64_t timeout);
 
-/* store-faulty.c: a wrapper that fails calls as a plan says; for tests. */
+/* store-faulty.c: a wrapper that injects faults into calls, for tests. */
 enum store_fault {
 	STORE_FAULT_NONE,
+	/* Fail without running the call. */
 	STORE_FAULT_BEFORE,
+	/* Run the call, then report that its response was lost. */
 	STORE_FAULT_AFTER
 };
+/* Selects the fault for a call: "range", "txn", "grant", "keepalive", "revoke" or "watch". */
 typedef enum store_fault store_fault_fn(const char *call, void *arg);
 struct store *store_faulty_new(struct store *inner, store_fault_fn *fn, void *arg);
 
-/* store-json.c: the bodies of etcd's v3 JSON protocol, for both ends of it. */
+/* store-json.c: encoding of etcd v3 JSON messages, shared by client and test server. */
 char *store_json_encode64(const void *data, size_t len);
 bool store_json_decode64(const json_t *text, struct bytes *out);
-int64_t store_json_int(const json_t *v);
+int64_t store_json_get_int(const json_t *v);
 char *store_json_prefix_end(const char *prefix);
-json_t *store_json_kv(const struct store_kv *kv);
-bool store_json_read_kv(const json_t *v, struct store_kv *kv);
+json_t *store_json_encode_kv(const struct store_kv *kv);
+bool store_json_decode_kv(const json_t *v, struct store_kv *kv);
 void store_json_set_int(json_t *o, const char *key, int64_t v);
 
-/* document.c: the operators' configuration document. Durations are in nanoseconds. */
+/* document.c: the cluster configuration document. Durations are in nanoseconds. */
 #define DOC_CLASS_PRIORITY_MAX 9
 
 struct doc_where {
@@ -163,8 +169,9 @@
 };
 
 /*
- * One section as text: "cluster" or "teams/NAME". number is the edit that wrote it; lines and
- * columns count from where the text stood in its file.
+ * The text of one section, named "cluster" or "teams/NAME". number identifies the edit that
+ * wrote it. first_line and indent give the position of the text in its source file, so that
+ * problems are reported with the line and column of that file.
  */
 struct doc_section {
 	char *name;
@@ -200,7 +207,9 @@
 bool doc_split(const char *text, GPtrArray *sections, struct doc_problems *problems);
 void doc_section_free(void *section);
 
-/* shape-pack.c: where a set of shapes fits together. Errs to the side of not finding a place.
+/*
+ * shape-pack.c: packs a set of shapes onto workers. The heuristic may fail to find a packing
+ * that exists, but never reports one that does not.
  */
 struct pack_worker {
 	uint32_t rack;
@@ -223,12 +232,14 @@
 /* document-check.c */
 void doc_check(const struct doc *d, struct doc_problems *problems);
 
-/* config-store.c: the document in the store, section by section. */
+/* config-store.c: the configuration document, stored as one key per section. */
 struct config_snapshot {
 	GPtrArray *sections;
 	int64_t head_revision;
 	uint64_t number;
 };
+/* Replaces a section. base is the number of the version that was edited; 0 for a new section.
+ */
 struct config_edit {
 	const char *section;
 	const char *text;
@@ -245,7 +256,10 @@
 struct doc *config_parse(const struct config_snapshot *c);
 json_t *config_history(struct store *s, GError **err);
 
-/* cell-term.c: the right to coordinate a cell. */
+/*
+ * cell-term.c: leader election for the coordinator of a cell. held tells whether the lease key
+ * exists, roster holds the names of the cell's workers.
+ */
 struct cell_term {
 	uint64_t term;
 	char *addr;
@@ -265,7 +279,7 @@
 bool cell_term_release(struct store *s, struct cell_term *io, GError **err);
 void cell_term_clear(struct cell_term *t);
 
-/* job-store.c: records of accepted jobs that must outlive the processes. */
+/* job-store.c: persistent records of accepted jobs. */
 struct job_record {
 	struct job_spec spec;
 	uint32_t attempt;
@@ -280,7 +294,7 @@
 extern const struct field_table job_record_fields;
 bool job_store_load(struct store *s, const char *cell, GPtrArray *records, GError **err);
 bool job_store_write(struct store *s, const char *cell, const struct cell_term *term,
-	const struct job_write *writes, size_t len, bool *still_ours, GError **err);
+	const struct job_write *writes, size_t len, bool *term_current, GError **err);
 void job_record_free(void *record);
 
 #endif
--- a/packages/state/store-etcd.c
+++ b/packages/state/store-etcd.c
@@ -67,7 +67,8 @@
 /* The revision in an answer's header. */
 static int64_t header_revision(const json_t *answer)
 {
-	return store_json_int(json_object_get(json_object_get(answer, "header"), "revision"));
+	return store_json_get_int(
+		json_object_get(json_object_get(answer, "header"), "revision"));
 }
 
 /* A request for a key or a prefix. */
@@ -97,7 +98,7 @@
 	out->revision = header_revision(answer);
 	out->kvs = xcalloc(json_array_size(kvs), sizeof(*out->kvs));
 	for (size_t i = 0; ok && i < json_array_size(kvs); i++) {
-		ok = store_json_read_kv(json_array_get(kvs, i), &out->kvs[i]);
+		ok = store_json_decode_kv(json_array_get(kvs, i), &out->kvs[i]);
 		out->len++;
 	}
 	json_decref(answer);
@@ -177,7 +178,7 @@
 
 	if (answer == NULL)
 		return false;
-	*lease = store_json_int(json_object_get(answer, "ID"));
+	*lease = store_json_get_int(json_object_get(answer, "ID"));
 	json_decref(answer);
 	return true;
 }
@@ -189,7 +190,7 @@
 
 	if (answer == NULL)
 		return false;
-	*ttl_s = store_json_int(json_object_get(json_object_get(answer, "result"), "TTL"));
+	*ttl_s = store_json_get_int(json_object_get(json_object_get(answer, "result"), "TTL"));
 	json_decref(answer);
 	return true;
 }
@@ -225,7 +226,7 @@
 		const char *type = json_string_value(json_object_get(ev, "type"));
 
 		events[i].deleted = type != NULL && strcmp(type, "DELETE") == 0;
-		store_json_read_kv(json_object_get(ev, "kv"), &events[i].kv);
+		store_json_decode_kv(json_object_get(ev, "kv"), &events[i].kv);
 	}
 	go_on = len == 0 || w->fn(events, len, header_revision(result), w->arg);
 	for (size_t i = 0; i < len; i++)
@@ -246,7 +247,7 @@
 		return w->fn(NULL, 0, 0, w->arg);
 	o = json_loadb(line, len, 0, NULL);
 	result = json_object_get(o, "result");
-	w->compacted = store_json_int(json_object_get(result, "compact_revision")) > 0;
+	w->compacted = store_json_get_int(json_object_get(result, "compact_revision")) > 0;
 	go_on = !w->compacted && watch_events(w, result);
 	json_decref(o);
 	return go_on;
--- a/packages/state/store-json.c
+++ b/packages/state/store-json.c
@@ -25,7 +25,7 @@
 }
 
 /* A 64-bit number, which the protocol writes as a string. */
-int64_t store_json_int(const json_t *v)
+int64_t store_json_get_int(const json_t *v)
 {
 	if (json_is_integer(v))
 		return json_integer_value(v);
@@ -53,7 +53,7 @@
 }
 
 /* A key and value as JSON. */
-json_t *store_json_kv(const struct store_kv *kv)
+json_t *store_json_encode_kv(const struct store_kv *kv)
 {
 	json_t *o = json_object();
 	g_autofree char *key = store_json_encode64(kv->key, strlen(kv->key));
@@ -69,7 +69,7 @@
 }
 
 /* A key and value from JSON. */
-bool store_json_read_kv(const json_t *v, struct store_kv *kv)
+bool store_json_decode_kv(const json_t *v, struct store_kv *kv)
 {
 	struct bytes key = {0};
 
@@ -77,8 +77,8 @@
 	if (!store_json_decode64(json_object_get(v, "key"), &key))
 		return false;
 	kv->key = key.data;
-	kv->create_revision = store_json_int(json_object_get(v, "create_revision"));
-	kv->mod_revision = store_json_int(json_object_get(v, "mod_revision"));
-	kv->lease = store_json_int(json_object_get(v, "lease"));
+	kv->create_revision = store_json_get_int(json_object_get(v, "create_revision"));
+	kv->mod_revision = store_json_get_int(json_object_get(v, "mod_revision"));
+	kv->lease = store_json_get_int(json_object_get(v, "lease"));
 	return store_json_decode64(json_object_get(v, "value"), &kv->value);
 }
