--- a/packages/state/store-embedded.c
+++ b/packages/state/store-embedded.c
@@ -4,8 +4,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define HISTORY_MAX 4096
-#define WATCH_WAIT  (200 * NSEC_PER_MSEC)
+#define HISTORY_EVENTS_MAX 4096
+#define WATCH_POLL_NS	   (200 * NSEC_PER_MSEC)
 
 struct store_history {
 	int64_t revision;
@@ -15,10 +15,10 @@
 struct embedded_lease {
 	int64_t id;
 	int64_t ttl_s;
-	int64_t ends;
+	int64_t expires_at;
 };
 
-/* Copy a key and value. */
+/* Make a deep copy of a key-value pair. */
 static void copy_kv(struct store_kv *to, const struct store_kv *from)
 {
 	*to = *from;
@@ -32,7 +32,7 @@
 	free(p);
 }
 
-static void free_history(struct store_history *h)
+static void free_history_entry(struct store_history *h)
 {
 	store_kv_clear(&h->event.kv);
 	free(h);
@@ -44,7 +44,7 @@
 	return strcmp(a, b);
 }
 
-/* A store in this process's memory. */
+/* Create a store in the memory of this process. */
 struct store *store_embedded_new(const struct clock *clock)
 {
 	struct store *s = xcalloc(1, sizeof(*s));
@@ -56,32 +56,32 @@
 	e->keys = g_tree_new_full(compare_keys, NULL, NULL, free_kv);
 	e->leases = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, free);
 	e->revision = 1;
-	e->next_lease = 1000;
+	e->next_lease_id = 1000;
 	g_queue_init(&e->history);
 	pthread_mutex_init(&e->lock, NULL);
 	pthread_condattr_init(&attr);
 	pthread_condattr_setclock(&attr, CLOCK_MONOTONIC);
-	pthread_cond_init(&e->changed, &attr);
+	pthread_cond_init(&e->watch_cond, &attr);
 	pthread_condattr_destroy(&attr);
 	return s;
 }
 
-/* Free what the store holds. */
+/* Release everything the store owns, but not the store itself. */
 void embedded_destroy(struct store *s)
 {
 	struct store_embedded *e = &s->embedded;
 	struct store_history *h;
 
 	while ((h = g_queue_pop_head(&e->history)) != NULL)
-		free_history(h);
+		free_history_entry(h);
 	g_tree_destroy(e->keys);
 	g_hash_table_destroy(e->leases);
 	pthread_mutex_destroy(&e->lock);
-	pthread_cond_destroy(&e->changed);
+	pthread_cond_destroy(&e->watch_cond);
 }
 
-/* Keep an event for the watches, within bounds. */
-static void record(struct store_embedded *e, bool deleted, const struct store_kv *kv)
+/* Append an event to the bounded history and wake the watches. */
+static void record_event(struct store_embedded *e, bool deleted, const struct store_kv *kv)
 {
 	struct store_history *h = xcalloc(1, sizeof(*h));
 
@@ -89,15 +89,15 @@
 	h->event.deleted = deleted;
 	copy_kv(&h->event.kv, kv);
 	g_queue_push_tail(&e->history, h);
-	while (e->history.length > HISTORY_MAX) {
+	while (e->history.length > HISTORY_EVENTS_MAX) {
 		h = g_queue_pop_head(&e->history);
-		e->compacted = h->revision;
-		free_history(h);
+		e->compacted_revision = h->revision;
+		free_history_entry(h);
 	}
-	pthread_cond_broadcast(&e->changed);
+	pthread_cond_broadcast(&e->watch_cond);
 }
 
-/* Write one key at the current revision. */
+/* Put a key at the current revision. */
 static void put_key(struct store_embedded *e, const struct store_op *op)
 {
 	struct store_kv *old = g_tree_lookup(e->keys, op->key);
@@ -108,46 +108,46 @@
 	kv->create_revision = old != NULL ? old->create_revision : e->revision;
 	kv->mod_revision = e->revision;
 	kv->lease = op->lease;
-	record(e, false, kv);
+	record_event(e, false, kv);
 	g_tree_replace(e->keys, kv->key, kv);
 }
 
-/* Delete one key at the current revision. */
+/* Delete a key at the current revision, if it exists. */
 static void delete_key(struct store_embedded *e, const char *key)
 {
 	struct store_kv *old = g_tree_lookup(e->keys, key);
-	struct store_kv gone = {0};
+	struct store_kv tombstone = {0};
 
 	if (old == NULL)
 		return;
-	gone.key = old->key;
-	gone.mod_revision = e->revision;
-	record(e, true, &gone);
+	tombstone.key = old->key;
+	tombstone.mod_revision = e->revision;
+	record_event(e, true, &tombstone);
 	g_tree_remove(e->keys, key);
 }
 
-struct collect {
+struct key_collector {
 	int64_t lease;
 	const char *prefix;
 	bool exact;
 	GPtrArray *found;
 };
 
-/* Collect the keys of a lease. */
+/* Tree visitor: collect the keys attached to a lease. */
 static gboolean collect_lease(gpointer key, gpointer value, gpointer arg)
 {
 	const struct store_kv *kv = value;
-	struct collect *c = arg;
+	struct key_collector *c = arg;
 
 	if (kv->lease == c->lease)
 		g_ptr_array_add(c->found, xstrdup(key));
 	return FALSE;
 }
 
-/* End a lease with its keys. */
-static void end_lease(struct store_embedded *e, int64_t id)
+/* Remove a lease and delete the keys attached to it. */
+static void remove_lease(struct store_embedded *e, int64_t id)
 {
-	struct collect c = {.lease = id, .found = g_ptr_array_new_with_free_func(free)};
+	struct key_collector c = {.lease = id, .found = g_ptr_array_new_with_free_func(free)};
 
 	g_tree_foreach(e->keys, collect_lease, &c);
 	if (c.found->len > 0)
@@ -158,44 +158,45 @@
 	g_hash_table_remove(e->leases, &id);
 }
 
-/* End the leases that have run out. */
+/* Remove expired leases, restarting the scan after each one as removal invalidates the
+ * iterator. */
 static void expire_leases(struct store_embedded *e)
 {
 	int64_t now = clock_now(e->clock);
 	GHashTableIter it;
 	gpointer value;
-	bool again = true;
+	bool removed = true;
 
-	while (again) {
-		again = false;
+	while (removed) {
+		removed = false;
 		g_hash_table_iter_init(&it, e->leases);
 		while (g_hash_table_iter_next(&it, NULL, &value)) {
 			const struct embedded_lease *l = value;
 
-			if (l->ends <= now) {
-				end_lease(e, l->id);
-				again = true;
+			if (l->expires_at <= now) {
+				remove_lease(e, l->id);
+				removed = true;
 				break;
 			}
 		}
 	}
 }
 
-/* Collect the keys of a range. */
+/* Tree visitor: collect the entries of a range. */
 static gboolean collect_range(gpointer key, gpointer value, gpointer arg)
 {
-	struct collect *c = arg;
+	struct key_collector *c = arg;
 
 	if (c->exact ? strcmp(key, c->prefix) == 0 : g_str_has_prefix(key, c->prefix))
 		g_ptr_array_add(c->found, value);
 	return FALSE;
 }
 
-/* Read a range. */
+/* Read a key, or all keys with a prefix. */
 bool embedded_range(struct store *s, const char *prefix, bool exact, struct store_range *out)
 {
 	struct store_embedded *e = &s->embedded;
-	struct collect c = {.prefix = prefix, .exact = exact, .found = g_ptr_array_new()};
+	struct key_collector c = {.prefix = prefix, .exact = exact, .found = g_ptr_array_new()};
 
 	pthread_mutex_lock(&e->lock);
 	expire_leases(e);
@@ -210,8 +211,8 @@
 	return true;
 }
 
-/* Whether a compare holds. */
-static bool holds(struct store_embedded *e, const struct store_compare *c)
+/* Evaluate one compare of a transaction. */
+static bool compare_matches(struct store_embedded *e, const struct store_compare *c)
 {
 	const struct store_kv *kv = g_tree_lookup(e->keys, c->key);
 
@@ -221,7 +222,7 @@
 	       (c->target == STORE_MOD_REVISION ? kv->mod_revision : kv->create_revision);
 }
 
-/* Run a transaction. */
+/* Run a transaction. *succeeded is also false if an operation names an unknown lease. */
 bool embedded_txn(struct store *s, const struct store_txn *txn, bool *succeeded,
 	int64_t *revision, GError **err)
 {
@@ -230,14 +231,14 @@
 
 	for (size_t i = 0; i < txn->ops_len; i++) {
 		if (txn->ops[i].len > STORE_VALUE_MAX) {
-			error_set(err, ERR_TOO_LARGE, "a value is over the store's limit");
+			error_set(err, ERR_TOO_LARGE, "value exceeds the store's size limit");
 			return false;
 		}
 	}
 	pthread_mutex_lock(&e->lock);
 	expire_leases(e);
 	for (size_t i = 0; ok && i < txn->compares_len; i++)
-		ok = holds(e, &txn->compares[i]);
+		ok = compare_matches(e, &txn->compares[i]);
 	for (size_t i = 0; ok && i < txn->ops_len; i++)
 		ok = txn->ops[i].lease == 0 ||
 		     g_hash_table_contains(e->leases, &txn->ops[i].lease);
@@ -255,23 +256,23 @@
 	return true;
 }
 
-/* Make a lease. */
+/* Grant a lease. */
 bool embedded_grant(struct store *s, int64_t ttl_s, int64_t *lease)
 {
 	struct store_embedded *e = &s->embedded;
 	struct embedded_lease *l = xcalloc(1, sizeof(*l));
 
 	pthread_mutex_lock(&e->lock);
-	l->id = e->next_lease++;
+	l->id = e->next_lease_id++;
 	l->ttl_s = ttl_s;
-	l->ends = clock_now(e->clock) + ttl_s * NSEC_PER_SEC;
+	l->expires_at = clock_now(e->clock) + ttl_s * NSEC_PER_SEC;
 	*lease = l->id;
 	g_hash_table_replace(e->leases, &l->id, l);
 	pthread_mutex_unlock(&e->lock);
 	return true;
 }
 
-/* Renew a lease. */
+/* Renew a lease; *ttl_s is 0 if it does not exist. */
 bool embedded_keepalive(struct store *s, int64_t lease, int64_t *ttl_s)
 {
 	struct store_embedded *e = &s->embedded;
@@ -281,22 +282,25 @@
 	expire_leases(e);
 	l = g_hash_table_lookup(e->leases, &lease);
 	if (l != NULL)
-		l->ends = clock_now(e->clock) + l->ttl_s * NSEC_PER_SEC;
+		l->expires_at = clock_now(e->clock) + l->ttl_s * NSEC_PER_SEC;
 	*ttl_s = l != NULL ? l->ttl_s : 0;
 	pthread_mutex_unlock(&e->lock);
 	return true;
 }
 
-/* End a lease. */
+/* Revoke a lease. */
 bool embedded_revoke(struct store *s, int64_t lease)
 {
 	pthread_mutex_lock(&s->embedded.lock);
-	end_lease(&s->embedded, lease);
+	remove_lease(&s->embedded, lease);
 	pthread_mutex_unlock(&s->embedded.lock);
 	return true;
 }
 
-/* Copy the events of the first revision at or after *from. */
+/*
+ * Copy the events under a prefix from the first revision at or after *from that has any, and
+ * set *from to that revision.
+ */
 static size_t next_events(
 	struct store_embedded *e, const char *prefix, int64_t *from, struct store_event **out)
 {
@@ -323,41 +327,41 @@
 	return len;
 }
 
-/* Wait for a change, or a short time. */
-static void wait_changed(struct store_embedded *e)
+/* Wait for a change, or until the poll interval elapses. */
+static void wait_for_change(struct store_embedded *e)
 {
 	struct timespec until;
 
 	clock_gettime(CLOCK_MONOTONIC, &until);
-	until.tv_nsec += WATCH_WAIT;
+	until.tv_nsec += WATCH_POLL_NS;
 	until.tv_sec += until.tv_nsec / NSEC_PER_SEC;
 	until.tv_nsec %= NSEC_PER_SEC;
-	pthread_cond_timedwait(&e->changed, &e->lock, &until);
+	pthread_cond_timedwait(&e->watch_cond, &e->lock, &until);
 }
 
-/* Watch a prefix. */
+/* Watch a prefix until fn returns false or the next revision has been compacted. */
 bool embedded_watch(struct store *s, const char *prefix, int64_t from, store_watch_fn *fn,
 	void *arg, GError **err)
 {
 	struct store_embedded *e = &s->embedded;
-	bool go_on = true;
+	bool keep_watching = true;
 
-	while (go_on) {
+	while (keep_watching) {
 		struct store_event *events;
 		size_t len;
 
 		pthread_mutex_lock(&e->lock);
 		expire_leases(e);
-		if (from <= e->compacted) {
+		if (from <= e->compacted_revision) {
 			pthread_mutex_unlock(&e->lock);
-			error_set(err, ERR_NOT_FOUND, "the revision has been compacted");
+			error_set(err, ERR_NOT_FOUND, "revision has been compacted");
 			return false;
 		}
 		len = next_events(e, prefix, &from, &events);
 		if (len == 0)
-			wait_changed(e);
+			wait_for_change(e);
 		pthread_mutex_unlock(&e->lock);
-		go_on = fn(len > 0 ? events : NULL, len, from, arg);
+		keep_watching = fn(len > 0 ? events : NULL, len, from, arg);
 		if (len > 0)
 			from++;
 		for (size_t i = 0; i < len; i++)
@@ -367,7 +371,7 @@
 	return true;
 }
 
-/* End all leases at once. */
+/* Expire all leases immediately. */
 void store_embedded_expire(struct store *s)
 {
 	GHashTableIter it;
@@ -376,25 +380,25 @@
 	pthread_mutex_lock(&s->embedded.lock);
 	g_hash_table_iter_init(&it, s->embedded.leases);
 	while (g_hash_table_iter_next(&it, NULL, &value))
-		((struct embedded_lease *)value)->ends = 0;
+		((struct embedded_lease *)value)->expires_at = 0;
 	expire_leases(&s->embedded);
 	pthread_mutex_unlock(&s->embedded.lock);
 }
 
-/* Forget the history. */
+/* Compact the history up to the current revision. */
 void store_embedded_compact(struct store *s)
 {
 	struct store_history *h;
 
 	pthread_mutex_lock(&s->embedded.lock);
 	while ((h = g_queue_pop_head(&s->embedded.history)) != NULL)
-		free_history(h);
-	s->embedded.compacted = s->embedded.revision;
-	pthread_cond_broadcast(&s->embedded.changed);
+		free_history_entry(h);
+	s->embedded.compacted_revision = s->embedded.revision;
+	pthread_cond_broadcast(&s->embedded.watch_cond);
 	pthread_mutex_unlock(&s->embedded.lock);
 }
 
-/* The newest revision. */
+/* Return the current revision. */
 int64_t store_embedded_revision(struct store *s)
 {
 	int64_t revision;
--- a/packages/state/store-private.h
+++ b/packages/state/store-private.h
@@ -13,16 +13,19 @@
 
 struct store_history;
 
+/* In-memory store; lock protects everything but clock. */
 struct store_embedded {
 	const struct clock *clock;
 	pthread_mutex_t lock;
-	pthread_cond_t changed;
+	/* Signalled on every change, to wake watches. */
+	pthread_cond_t watch_cond;
 	GTree *keys;
 	GHashTable *leases;
+	/* Events newer than compacted_revision, oldest first. */
 	GQueue history;
 	int64_t revision;
-	int64_t compacted;
-	int64_t next_lease;
+	int64_t compacted_revision;
+	int64_t next_lease_id;
 };
 
 struct store_etcd {
