--- a/packages/state/store.c
+++ b/packages/state/store.c
@@ -12,8 +12,8 @@
 	"Calls to the store by kind.");
 COUNTER(failed_calls, "damaskpath_store_failures_total", "Calls to the store that failed.");
 
-/* Count a call and its failure. */
-static bool counted(struct counter *c, bool ok)
+/* Update the metrics for a finished call; returns ok. */
+static bool count_call(struct counter *c, bool ok)
 {
 	counter_add(c, 1);
 	if (!ok)
@@ -28,9 +28,9 @@
 	memset(out, 0, sizeof(*out));
 	switch (s->kind) {
 	case STORE_KIND_EMBEDDED:
-		return counted(&range_calls, embedded_range(s, prefix, exact, out));
+		return count_call(&range_calls, embedded_range(s, prefix, exact, out));
 	case STORE_KIND_ETCD:
-		return counted(&range_calls, etcd_range(s, prefix, exact, out, err));
+		return count_call(&range_calls, etcd_range(s, prefix, exact, out, err));
 	case STORE_KIND_FAULTY:
 		return faulty_range(s, prefix, exact, out, err);
 	}
@@ -38,59 +38,59 @@
 }
 
 /*
- * Run the operations if all compares hold. ERR_STORE_DOWN says that nothing was written,
- * ERR_STORE_UNSURE that it may have been.
+ * Run the operations if all compares match. ERR_STORE_DOWN means that nothing was written,
+ * ERR_STORE_UNSURE that the transaction may have been applied.
  */
 bool store_run_txn(struct store *s, const struct store_txn *txn, bool *succeeded,
 	int64_t *revision, GError **err)
 {
 	switch (s->kind) {
 	case STORE_KIND_EMBEDDED:
-		return counted(&txn_calls, embedded_txn(s, txn, succeeded, revision, err));
+		return count_call(&txn_calls, embedded_txn(s, txn, succeeded, revision, err));
 	case STORE_KIND_ETCD:
-		return counted(&txn_calls, etcd_txn(s, txn, succeeded, revision, err));
+		return count_call(&txn_calls, etcd_txn(s, txn, succeeded, revision, err));
 	case STORE_KIND_FAULTY:
 		return faulty_txn(s, txn, succeeded, revision, err);
 	}
 	return false;
 }
 
-/* Make a lease that ends unless it is renewed. */
+/* Grant a lease that expires after ttl_s seconds unless it is renewed. */
 bool store_lease_grant(struct store *s, int64_t ttl_s, int64_t *lease, GError **err)
 {
 	switch (s->kind) {
 	case STORE_KIND_EMBEDDED:
-		return counted(&lease_calls, embedded_grant(s, ttl_s, lease));
+		return count_call(&lease_calls, embedded_grant(s, ttl_s, lease));
 	case STORE_KIND_ETCD:
-		return counted(&lease_calls, etcd_grant(s, ttl_s, lease, err));
+		return count_call(&lease_calls, etcd_grant(s, ttl_s, lease, err));
 	case STORE_KIND_FAULTY:
 		return faulty_grant(s, ttl_s, lease, err);
 	}
 	return false;
 }
 
-/* Renew a lease; *ttl_s is 0 where it has ended. */
+/* Renew a lease; *ttl_s is 0 if it has expired. */
 bool store_lease_keepalive(struct store *s, int64_t lease, int64_t *ttl_s, GError **err)
 {
 	switch (s->kind) {
 	case STORE_KIND_EMBEDDED:
-		return counted(&lease_calls, embedded_keepalive(s, lease, ttl_s));
+		return count_call(&lease_calls, embedded_keepalive(s, lease, ttl_s));
 	case STORE_KIND_ETCD:
-		return counted(&lease_calls, etcd_keepalive(s, lease, ttl_s, err));
+		return count_call(&lease_calls, etcd_keepalive(s, lease, ttl_s, err));
 	case STORE_KIND_FAULTY:
 		return faulty_keepalive(s, lease, ttl_s, err);
 	}
 	return false;
 }
 
-/* End a lease and delete its keys. */
+/* Revoke a lease and delete the keys attached to it. */
 bool store_lease_revoke(struct store *s, int64_t lease, GError **err)
 {
 	switch (s->kind) {
 	case STORE_KIND_EMBEDDED:
-		return counted(&lease_calls, embedded_revoke(s, lease));
+		return count_call(&lease_calls, embedded_revoke(s, lease));
 	case STORE_KIND_ETCD:
-		return counted(&lease_calls, etcd_revoke(s, lease, err));
+		return count_call(&lease_calls, etcd_revoke(s, lease, err));
 	case STORE_KIND_FAULTY:
 		return faulty_revoke(s, lease, err);
 	}
@@ -98,18 +98,18 @@
 }
 
 /*
- * Watch a prefix from a revision until fn returns false. ERR_NOT_FOUND says that the revision
- * has been compacted: read the range again.
+ * Watch a prefix from a revision until fn returns false. ERR_NOT_FOUND means that the revision
+ * has been compacted and the caller must read the range again.
  */
 bool store_watch(struct store *s, const char *prefix, int64_t from_revision, store_watch_fn *fn,
 	void *arg, GError **err)
 {
 	switch (s->kind) {
 	case STORE_KIND_EMBEDDED:
-		return counted(
+		return count_call(
 			&watch_calls, embedded_watch(s, prefix, from_revision, fn, arg, err));
 	case STORE_KIND_ETCD:
-		return counted(
+		return count_call(
 			&watch_calls, etcd_watch(s, prefix, from_revision, fn, arg, err));
 	case STORE_KIND_FAULTY:
 		return faulty_watch(s, prefix, from_revision, fn, arg, err);
@@ -117,7 +117,7 @@
 	return false;
 }
 
-/* Free a store; a wrapper frees what it wraps. */
+/* Free a store, including the inner store of a wrapper. */
 void store_free(struct store *s)
 {
 	if (s == NULL)
@@ -136,7 +136,7 @@
 	free(s);
 }
 
-/* Free what a key and value hold. */
+/* Release the key and value of a pair. */
 void store_kv_clear(struct store_kv *kv)
 {
 	free(kv->key);
@@ -144,7 +144,7 @@
 	bytes_clear(&kv->value);
 }
 
-/* Free a range. */
+/* Release the pairs of a range and reset it. */
 void store_range_clear(struct store_range *r)
 {
 	for (size_t i = 0; i < r->len; i++)
@@ -153,7 +153,7 @@
 	memset(r, 0, sizeof(*r));
 }
 
-/* Find a key in a range. */
+/* Return the pair with a key, or NULL. */
 const struct store_kv *store_range_find(const struct store_range *r, const char *key)
 {
 	for (size_t i = 0; i < r->len; i++) {
