--- a/packages/state/store-json.c
+++ b/packages/state/store-json.c
@@ -4,13 +4,13 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Bytes as base64 text; freed with g_free. */
+/* Encode bytes as base64; free the result with g_free. */
 char *store_json_encode64(const void *data, size_t len)
 {
 	return g_base64_encode(len > 0 ? data : (const void *)"", len);
 }
 
-/* The bytes of a base64 string; an absent one is empty. */
+/* Decode a base64 string. NULL decodes to no bytes; any other type fails. */
 bool store_json_decode64(const json_t *text, struct bytes *out)
 {
 	g_autofree guchar *raw = NULL;
@@ -24,7 +24,7 @@
 	return true;
 }
 
-/* A 64-bit number, which the protocol writes as a string. */
+/* Read a 64-bit integer, which the protocol encodes as a string; 0 for other types. */
 int64_t store_json_get_int(const json_t *v)
 {
 	if (json_is_integer(v))
@@ -34,7 +34,7 @@
 	return 0;
 }
 
-/* Set a 64-bit number as a string. */
+/* Set a member to a 64-bit integer, encoded as a string. */
 void store_json_set_int(json_t *o, const char *key, int64_t v)
 {
 	char text[32];
@@ -43,7 +43,7 @@
 	json_object_set_new(o, key, json_string(text));
 }
 
-/* The first key after all keys with a prefix. */
+/* Return the first key that sorts after all keys with a prefix, which must not be empty. */
 char *store_json_prefix_end(const char *prefix)
 {
 	char *end = xstrdup(prefix);
@@ -52,7 +52,7 @@
 	return end;
 }
 
-/* A key and value as JSON. */
+/* Encode a key-value pair. */
 json_t *store_json_encode_kv(const struct store_kv *kv)
 {
 	json_t *o = json_object();
@@ -68,7 +68,7 @@
 	return o;
 }
 
-/* A key and value from JSON. */
+/* Decode a key-value pair; the caller must clear kv even on failure. */
 bool store_json_decode_kv(const json_t *v, struct store_kv *kv)
 {
 	struct bytes key = {0};
