--- a/packages/state/store-embedded.c
+++ b/packages/state/store-embedded.c
@@ -158,8 +158,7 @@
 	g_hash_table_remove(e->leases, &id);
 }
 
-/* Remove expired leases, restarting the scan after each one as removal invalidates the
- * iterator. */
+/* Remove expired leases. Each removal invalidates the iterator, so the scan restarts. */
 static void expire_leases(struct store_embedded *e)
 {
 	int64_t now = clock_now(e->clock);
