--- a/packages/state/cell-term.c
+++ b/packages/state/cell-term.c
@@ -5,9 +5,9 @@
 #include <string.h>
 
 /*
- * Two keys per cell. "term" lasts and is the authority: it is only ever replaced by compare
- * and swap with a higher term. "lease" only says that somebody holds the term and when to try
- * to take it.
+ * Leader election for a cell uses two keys. "term" is persistent and authoritative; it is only
+ * replaced by compare-and-swap with a higher term. "lease" is attached to a store lease. While
+ * it exists the term is held; once it is gone another agent may try to acquire the next term.
  */
 
 #define CELL_PREFIX   STORE_PREFIX "live/cells/"
@@ -21,7 +21,7 @@
 	char *roster;
 };
 
-/* The keys of a cell. */
+/* Build the store keys of a cell. */
 static void cell_keys_init(struct cell_keys *k, const char *cell)
 {
 	xasprintf(&k->prefix, "%s%s/", CELL_PREFIX, cell);
@@ -38,7 +38,7 @@
 	free(k->roster);
 }
 
-/* Free what a term holds and zero it. */
+/* Release the strings of a term and reset it. */
 void cell_term_clear(struct cell_term *t)
 {
 	free(t->addr);
@@ -47,7 +47,7 @@
 	memset(t, 0, sizeof(*t));
 }
 
-/* Fill a term from the value of its key; returns the writer's token. */
+/* Parse the value of the term key; returns the token of its writer, owned by the caller. */
 static char *read_term(const struct store_kv *kv, struct cell_term *out)
 {
 	json_t *o = json_loadb(kv->value.data, kv->value.len, 0, NULL);
@@ -61,30 +61,31 @@
 	return token;
 }
 
-/* Read a cell's keys; *token, if asked for, is the token of the term's writer. */
+/* Read the term and lease keys of a cell. If token is not NULL, *token is the writer's token.
+ */
 static bool read_cell(struct store *s, const struct cell_keys *k, struct cell_term *out,
 	char **token, GError **err)
 {
 	const struct store_kv *kv;
 	struct store_range r;
-	char *found = NULL;
+	char *writer_token = NULL;
 
 	if (!store_get_range(s, k->prefix, false, &r, err))
 		return false;
 	memset(out, 0, sizeof(*out));
 	kv = store_range_find(&r, k->term);
 	if (kv != NULL)
-		found = read_term(kv, out);
+		writer_token = read_term(kv, out);
 	out->held = store_range_find(&r, k->lease) != NULL;
 	store_range_clear(&r);
 	if (token != NULL)
-		*token = found;
+		*token = writer_token;
 	else
-		free(found);
+		free(writer_token);
 	return true;
 }
 
-/* Who holds the term of a cell; term 0 where nobody ever did. */
+/* Read the current term of a cell and its holder; term is 0 if none was ever acquired. */
 bool cell_term_read(struct store *s, const char *cell, struct cell_term *out, GError **err)
 {
 	struct cell_keys k;
@@ -96,7 +97,7 @@
 	return ok;
 }
 
-/* Read the roster that an earlier coordinator left. */
+/* Read the roster saved by the previous coordinator. */
 static bool read_roster(
 	struct store *s, const struct cell_keys *k, struct cell_term *io, GError **err)
 {
@@ -110,7 +111,7 @@
 	return true;
 }
 
-/* The value of the term key. */
+/* Encode the value of the term key. */
 static char *term_value(uint64_t term, const char *addr, const char *name, const char *token)
 {
 	json_t *o = json_pack("{s:I,s:s,s:s,s:s}", "term", (json_int_t)term, "addr", addr,
@@ -121,13 +122,17 @@
 	return text;
 }
 
-/* Write term + 1 and the lease, if neither changed since they were read. */
-static bool swap_term(struct store *s, const struct cell_keys *k, const struct cell_term *seen,
-	int64_t lease, const char *value, const char *token, bool *won, GError **err)
+/*
+ * Write the next term and the lease key if the term is unchanged and the lease key absent. If
+ * the outcome is unknown, the term is read back and *won tells whether it holds our token.
+ */
+static bool compare_and_swap_term(struct store *s, const struct cell_keys *k,
+	const struct cell_term *current_term, int64_t lease, const char *value,
+	const char *token, bool *won, GError **err)
 {
 	g_autoptr(GError) why = NULL;
 	struct store_compare compares[] = {
-		{k->term, STORE_MOD_REVISION, seen->term_revision},
+		{k->term, STORE_MOD_REVISION, current_term->term_revision},
 		{k->lease, STORE_CREATE_REVISION, 0},
 	};
 	struct store_op ops[] = {
@@ -136,7 +141,7 @@
 	};
 	struct store_txn txn = {compares, 2, ops, 2};
 	struct cell_term now;
-	char *found = NULL;
+	char *writer_token = NULL;
 	int64_t revision;
 
 	if (store_run_txn(s, &txn, won, &revision, &why))
@@ -145,58 +150,60 @@
 		g_propagate_error(err, g_steal_pointer(&why));
 		return false;
 	}
-	if (!read_cell(s, k, &now, &found, err))
+	if (!read_cell(s, k, &now, &writer_token, err))
 		return false;
-	*won = found != NULL && strcmp(found, token) == 0;
-	free(found);
+	*won = writer_token != NULL && strcmp(writer_token, token) == 0;
+	free(writer_token);
 	cell_term_clear(&now);
 	return true;
 }
 
 /*
- * Try to take the next term. ERR_CONFLICT: somebody holds it or was faster; read again. On
- * success *io has the new term, the lease and the roster of the one before.
+ * Try to acquire the next term. ERR_CONFLICT means that the term is held or that another agent
+ * acquired it first; the caller must read it again. On success *io holds the new term, its
+ * lease and the roster saved during the previous term.
  */
 bool cell_term_take(struct store *s, const char *cell, const char *addr, const char *name,
 	int64_t ttl_s, struct cell_term *io, GError **err)
 {
 	AUTOFREE char *token = random_hex(TOKEN_BYTES);
 	AUTOFREE char *value = NULL;
-	struct cell_term seen = {0};
+	struct cell_term current_term = {0};
 	struct cell_keys k;
 	int64_t lease = 0;
 	bool won = false;
 	bool ok;
 
 	cell_keys_init(&k, cell);
-	ok = read_cell(s, &k, &seen, NULL, err);
-	if (ok && seen.held) {
-		error_set(err, ERR_CONFLICT, "term %" PRIu64 " is held", seen.term);
+	ok = read_cell(s, &k, &current_term, NULL, err);
+	if (ok && current_term.held) {
+		error_set(err, ERR_CONFLICT, "term %" PRIu64 " is held", current_term.term);
 		ok = false;
 	}
-	value = term_value(seen.term + 1, addr, name, token);
+	value = term_value(current_term.term + 1, addr, name, token);
 	ok = ok && store_lease_grant(s, ttl_s, &lease, err) &&
-	     swap_term(s, &k, &seen, lease, value, token, &won, err);
+	     compare_and_swap_term(s, &k, &current_term, lease, value, token, &won, err);
 	if (ok && !won) {
-		error_set(err, ERR_CONFLICT, "another agent was faster");
+		error_set(err, ERR_CONFLICT, "another agent acquired the term first");
 		store_lease_revoke(s, lease, NULL);
 	}
 	if (ok && won) {
 		cell_term_clear(io);
 		ok = read_cell(s, &k, io, NULL, err) && read_roster(s, &k, io, err);
 		io->lease = lease;
-		if (ok && io->term != seen.term + 1) {
-			error_set(err, ERR_CONFLICT, "the term was taken over at once");
+		if (ok && io->term != current_term.term + 1) {
+			error_set(err, ERR_CONFLICT,
+				"term was superseded right after it was acquired");
 			ok = false;
 		}
 	}
-	cell_term_clear(&seen);
+	cell_term_clear(&current_term);
 	cell_keys_clear(&k);
 	return ok && won;
 }
 
-/* Put the lease key back after the lease ended, if the term is still ours. */
-static bool retake_lease(struct store *s, const struct cell_keys *k, int64_t ttl_s,
+/* Write the lease key under a new lease after the old one expired, if the term is unchanged. */
+static bool reacquire_lease(struct store *s, const struct cell_keys *k, int64_t ttl_s,
 	struct cell_term *io, GError **err)
 {
 	struct store_compare compares[] = {
@@ -212,8 +219,8 @@
 		!store_run_txn(s, &txn, &won, &revision, err))
 		return false;
 	if (!won) {
-		error_set(
-			err, ERR_CONFLICT, "the term %" PRIu64 " is no longer ours", io->term);
+		error_set(err, ERR_CONFLICT, "term %" PRIu64 " is no longer held by this agent",
+			io->term);
 		return false;
 	}
 	io->lease = op.lease;
@@ -221,27 +228,27 @@
 }
 
 /*
- * Keep the lease alive. ERR_CONFLICT: the term is lost. Other errors leave the term as it is:
- * it stays valid until an agent has seen a higher one.
+ * Renew the lease. ERR_CONFLICT means that the term is lost. After any other error the term
+ * stays valid until an agent has seen a higher one.
  */
 bool cell_term_renew(
 	struct store *s, const char *cell, int64_t ttl_s, struct cell_term *io, GError **err)
 {
 	struct cell_keys k;
-	int64_t left = 0;
+	int64_t remaining_s = 0;
 	bool ok;
 
-	if (!store_lease_keepalive(s, io->lease, &left, err))
+	if (!store_lease_keepalive(s, io->lease, &remaining_s, err))
 		return false;
-	if (left > 0)
+	if (remaining_s > 0)
 		return true;
 	cell_keys_init(&k, cell);
-	ok = retake_lease(s, &k, ttl_s, io, err);
+	ok = reacquire_lease(s, &k, ttl_s, io, err);
 	cell_keys_clear(&k);
 	return ok;
 }
 
-/* Save the names of the cell's workers, if the term is still ours. */
+/* Save the names of the cell's workers, if the term is unchanged. */
 bool cell_term_save_roster(struct store *s, const char *cell, struct cell_term *io,
 	const char *roster, GError **err)
 {
@@ -258,13 +265,13 @@
 	op = (struct store_op){STORE_PUT, k.roster, roster, strlen(roster), 0};
 	ok = store_run_txn(s, &txn, &won, &revision, err);
 	if (ok && !won)
-		error_set(
-			err, ERR_CONFLICT, "the term %" PRIu64 " is no longer ours", io->term);
+		error_set(err, ERR_CONFLICT, "term %" PRIu64 " is no longer held by this agent",
+			io->term);
 	cell_keys_clear(&k);
 	return ok && won;
 }
 
-/* Give the lease back, so that another agent need not wait for its end. */
+/* Revoke the lease, so that another agent need not wait for it to expire. */
 bool cell_term_release(struct store *s, struct cell_term *io, GError **err)
 {
 	return store_lease_revoke(s, io->lease, err);
