--- a/packages/state/config-store.c
+++ b/packages/state/config-store.c
@@ -5,20 +5,20 @@
 #include <string.h>
 
 /*
- * The head names each section with the number of the edit that wrote it. It is written in the
- * same transaction as the section and the audit entry, and compared in it, so that an edit is
- * checked against exactly the document that it joins.
+ * The head key lists each section with the number of the edit that wrote it. An edit writes the
+ * head, the section and an audit entry in one transaction that is conditional on the head being
+ * unchanged, so that the edit is validated against the document it is applied to.
  */
 
-#define HEAD_KEY       STORE_PREFIX "live/head"
-#define SECTION_PREFIX STORE_PREFIX "config/section/"
-#define AUDIT_PREFIX   STORE_PREFIX "config/audit/"
-#define AUDIT_KEPT     500
-#define PUT_TRIES      16
-#define LOAD_TRIES     8
-#define TOKEN_BYTES    8
+#define HEAD_KEY	  STORE_PREFIX "live/head"
+#define SECTION_PREFIX	  STORE_PREFIX "config/section/"
+#define AUDIT_PREFIX	  STORE_PREFIX "config/audit/"
+#define AUDIT_ENTRIES_MAX 500
+#define PUT_ATTEMPTS_MAX  16
+#define LOAD_ATTEMPTS_MAX 8
+#define TOKEN_BYTES	  8
 
-/* A section of a snapshot. */
+/* Find a section of a snapshot by name; NULL if it does not exist. */
 const struct doc_section *config_find(const struct config_snapshot *c, const char *section)
 {
 	for (guint i = 0; c->sections != NULL && i < c->sections->len; i++) {
@@ -30,7 +30,7 @@
 	return NULL;
 }
 
-/* Free a snapshot. */
+/* Release the sections of a snapshot and reset it. */
 void config_snapshot_clear(struct config_snapshot *c)
 {
 	if (c->sections != NULL)
@@ -38,7 +38,7 @@
 	memset(c, 0, sizeof(*c));
 }
 
-/* Copy a snapshot, so that another thread can bring the copy up to date. */
+/* Make a deep copy of a snapshot, so that another thread can update the copy. */
 void config_snapshot_copy(struct config_snapshot *to, const struct config_snapshot *from)
 {
 	*to = *from;
@@ -56,7 +56,7 @@
 	}
 }
 
-/* Read one key as JSON; NULL where it is absent or an error is set. */
+/* Read a key as JSON; returns NULL if the key is absent or an error is set. */
 static json_t *read_json(struct store *s, const char *key, int64_t *mod_revision, GError **err)
 {
 	struct store_range r;
@@ -69,13 +69,13 @@
 		*mod_revision = r.kvs[0].mod_revision;
 		o = json_loadb(r.kvs[0].value.data, r.kvs[0].value.len, 0, NULL);
 		if (o == NULL)
-			error_set(err, ERR_INTERNAL, "the key %s does not hold JSON", key);
+			error_set(err, ERR_INTERNAL, "key %s does not contain valid JSON", key);
 	}
 	store_range_clear(&r);
 	return o;
 }
 
-/* Make a section. */
+/* Allocate a section whose text starts on line 1. */
 static struct doc_section *section_new(const char *name, const char *text, uint64_t number)
 {
 	struct doc_section *s = xcalloc(1, sizeof(*s));
@@ -87,9 +87,12 @@
 	return s;
 }
 
-/* Fetch one section; *newer is set where an edit came between. */
-static bool fetch_section(struct store *s, const char *name, uint64_t number,
-	GPtrArray *sections, bool *newer, GError **err)
+/*
+ * Read one section and append it. *changed is set if the stored section no longer has the
+ * expected number because of a concurrent edit.
+ */
+static bool load_section(struct store *s, const char *name, uint64_t number,
+	GPtrArray *sections, bool *changed, GError **err)
 {
 	AUTOFREE char *key = NULL;
 	int64_t revision;
@@ -99,9 +102,9 @@
 	o = read_json(s, key, &revision, err);
 	if (o == NULL && err != NULL && *err != NULL)
 		return false;
-	*newer = o == NULL ||
-		 (uint64_t)json_integer_value(json_object_get(o, "number")) != number;
-	if (!*newer)
+	*changed = o == NULL ||
+		   (uint64_t)json_integer_value(json_object_get(o, "number")) != number;
+	if (!*changed)
 		g_ptr_array_add(sections,
 			section_new(
 				name, json_string_value(json_object_get(o, "text")), number));
@@ -109,9 +112,12 @@
 	return true;
 }
 
-/* Take over or fetch each section that the head names. */
-static bool fill_sections(struct store *s, const struct config_snapshot *old, json_t *names,
-	GPtrArray *sections, bool *newer, GError **err)
+/*
+ * Collect the sections that the head lists: unchanged ones from the old snapshot, the others
+ * from the store.
+ */
+static bool load_sections(struct store *s, const struct config_snapshot *old, json_t *names,
+	GPtrArray *sections, bool *changed, GError **err)
 {
 	const char *name;
 	json_t *value;
@@ -122,28 +128,29 @@
 
 		if (have != NULL && have->number == number)
 			g_ptr_array_add(sections, section_new(name, have->text, number));
-		else if (!fetch_section(s, name, number, sections, newer, err))
+		else if (!load_section(s, name, number, sections, changed, err))
 			return false;
-		if (*newer)
+		if (*changed)
 			return true;
 	}
 	return true;
 }
 
 /*
- * Bring a snapshot up to date; a zeroed one is filled. Reads the head, then only the sections
- * that changed. A head with a lower number than the snapshot's is refused: configuration never
- * goes back.
+ * Update a snapshot from the store; a zeroed snapshot is loaded in full. Reads the head, then
+ * only the sections that changed. Fails with ERR_CONFLICT if the head has a lower number than
+ * the snapshot, as the configuration must never go back to an older version, or if concurrent
+ * edits prevent a consistent read.
  */
 bool config_load(struct store *s, struct config_snapshot *io, GError **err)
 {
-	for (int i = 0; i < LOAD_TRIES; i++) {
+	for (int i = 0; i < LOAD_ATTEMPTS_MAX; i++) {
 		g_autoptr(GError) why = NULL;
 		GPtrArray *sections;
 		int64_t revision;
 		json_t *head = read_json(s, HEAD_KEY, &revision, &why);
 		uint64_t number = (uint64_t)json_integer_value(json_object_get(head, "number"));
-		bool newer = false;
+		bool changed = false;
 		bool ok;
 
 		if (why != NULL) {
@@ -153,8 +160,8 @@
 		if (number < io->number) {
 			json_decref(head);
 			error_set(err, ERR_CONFLICT,
-				"the store's configuration %" PRIu64
-				" is older than ours, %" PRIu64,
+				"stored configuration %" PRIu64
+				" is older than the loaded configuration %" PRIu64,
 				number, io->number);
 			return false;
 		}
@@ -163,10 +170,10 @@
 			return true;
 		}
 		sections = g_ptr_array_new_with_free_func(doc_section_free);
-		ok = fill_sections(
-			s, io, json_object_get(head, "sections"), sections, &newer, err);
+		ok = load_sections(
+			s, io, json_object_get(head, "sections"), sections, &changed, err);
 		json_decref(head);
-		if (ok && !newer) {
+		if (ok && !changed) {
 			config_snapshot_clear(io);
 			io->sections = sections;
 			io->head_revision = revision;
@@ -177,16 +184,19 @@
 		if (!ok)
 			return false;
 	}
-	error_set(err, ERR_CONFLICT, "the configuration changes too fast to be read");
+	error_set(err, ERR_CONFLICT, "configuration kept changing while it was read");
 	return false;
 }
 
-/* Parse and check the document with one section replaced; false where there are problems. */
+/*
+ * Parse the document with the edit applied and, if it has a cluster section, check it as a
+ * whole. Returns false if there are problems.
+ */
 static bool check_edit(const struct config_snapshot *c, const struct config_edit *edit,
 	struct doc_problems *problems)
 {
 	GArray *all = g_array_new(FALSE, TRUE, sizeof(struct doc_section));
-	struct doc_section mine = {
+	struct doc_section edited = {
 		.name = (char *)edit->section, .text = (char *)edit->text, .first_line = 1};
 	struct doc *d;
 
@@ -197,7 +207,7 @@
 			g_array_append_val(all, *s);
 	}
 	if (*edit->text != '\0')
-		g_array_append_val(all, mine);
+		g_array_append_val(all, edited);
 	d = doc_parse_sections((struct doc_section *)all->data, all->len, problems);
 	if (STAILQ_EMPTY(problems) && config_find(c, "cluster") != NULL)
 		doc_check(d, problems);
@@ -206,7 +216,7 @@
 	return STAILQ_EMPTY(problems);
 }
 
-/* The head after an edit. */
+/* Build the head that results from an edit. */
 static json_t *next_head(const struct config_snapshot *c, const struct config_edit *edit,
 	uint64_t number, const char *token)
 {
@@ -225,7 +235,7 @@
 		"sections", sections);
 }
 
-/* The audit entry of an edit. */
+/* Build the audit entry of an edit. */
 static json_t *audit_entry(const struct config_edit *edit, uint64_t number, const char *token)
 {
 	AUTOFREE char *when = clock_format_wall(edit->wall_ns);
@@ -236,7 +246,7 @@
 		(json_int_t)number, "token", token);
 }
 
-/* Write head, section and audit entry, if the head is still the one that was read. */
+/* Write the head, the section and the audit entry if the head is unchanged. */
 static bool write_edit(struct store *s, const struct config_snapshot *c,
 	const struct config_edit *edit, uint64_t number, const char *token, bool *succeeded,
 	GError **err)
@@ -268,16 +278,16 @@
 		ops[1] = (struct store_op){.kind = STORE_DELETE, .key = section_key};
 	ops[2] = (struct store_op){STORE_PUT, audit_key, audit_text, strlen(audit_text), 0};
 	txn.ops_len = 3;
-	if (number > AUDIT_KEPT) {
-		xasprintf(&old_key, "%s%010" PRIu64, AUDIT_PREFIX, number - AUDIT_KEPT);
+	if (number > AUDIT_ENTRIES_MAX) {
+		xasprintf(&old_key, "%s%010" PRIu64, AUDIT_PREFIX, number - AUDIT_ENTRIES_MAX);
 		ops[3] = (struct store_op){.kind = STORE_DELETE, .key = old_key};
 		txn.ops_len = 4;
 	}
 	return store_run_txn(s, &txn, succeeded, &revision, err);
 }
 
-/* After a lost answer: whether our edit is in the audit trail. */
-static bool read_back(
+/* After a lost response, look for the edit's token in the audit entry. */
+static bool verify_edit(
 	struct store *s, uint64_t number, const char *token, bool *written, GError **err)
 {
 	g_autoptr(GError) why = NULL;
@@ -290,8 +300,7 @@
 	o = read_json(s, key, &revision, &why);
 	if (why != NULL) {
 		error_set(err, ERR_STORE_UNSURE,
-			"the store did not say whether the edit was written: look at config "
-			"history");
+			"unknown whether the edit was written: check \"config history\"");
 		return false;
 	}
 	found = json_string_value(json_object_get(o, "token"));
@@ -300,8 +309,8 @@
 	return true;
 }
 
-/* Tell the loser of a race what stands there now. */
-static void set_current(const struct doc_section *now, struct doc_section *current)
+/* Report the current version of a section after a conflict. */
+static void report_current(const struct doc_section *now, struct doc_section *current)
 {
 	if (current == NULL)
 		return;
@@ -310,10 +319,13 @@
 }
 
 /*
- * Replace one section, made from the version base (0: it is new); empty text removes it.
- * ERR_CONFLICT: the section is no longer at base, and *current is what it is now. ERR_INVALID:
- * problems tells. ERR_STORE_UNSURE: it may have been written. Races with edits of other
- * sections are run again.
+ * Replace a section; empty text removes it. Edits that conflict only with edits of other
+ * sections are retried. Errors:
+ *   ERR_CONFLICT: the section is no longer at version edit->base; *current is set to the
+ *     current version
+ *   ERR_INVALID: the resulting document is not valid; problems lists the reasons
+ *   ERR_STORE_UNSURE: the edit may have been written
+ *   ERR_OVERLOAD: still conflicting after PUT_ATTEMPTS_MAX attempts
  */
 bool config_put(struct store *s, const struct config_edit *edit, uint64_t *number,
 	struct doc_problems *problems, struct doc_section *current, GError **err)
@@ -322,7 +334,7 @@
 	struct config_snapshot c = {0};
 	bool done = false;
 
-	for (int i = 0; i < PUT_TRIES && !done; i++) {
+	for (int i = 0; i < PUT_ATTEMPTS_MAX && !done; i++) {
 		g_autoptr(GError) why = NULL;
 		const struct doc_section *now;
 
@@ -330,14 +342,15 @@
 			break;
 		now = config_find(&c, edit->section);
 		if ((now != NULL ? now->number : 0) != edit->base) {
-			set_current(now, current);
+			report_current(now, current);
 			error_set(err, ERR_CONFLICT,
-				"section %s was changed by edit %" PRIu64 " since %" PRIu64,
+				"section %s was changed by edit %" PRIu64
+				" after edit %" PRIu64,
 				edit->section, now != NULL ? now->number : 0, edit->base);
 			break;
 		}
 		if (!check_edit(&c, edit, problems)) {
-			error_set(err, ERR_INVALID, "the section is not valid");
+			error_set(err, ERR_INVALID, "section is not valid");
 			break;
 		}
 		*number = c.number + 1;
@@ -347,16 +360,16 @@
 			g_propagate_error(err, g_steal_pointer(&why));
 			break;
 		}
-		if (!read_back(s, *number, token, &done, err))
+		if (!verify_edit(s, *number, token, &done, err))
 			break;
 	}
 	config_snapshot_clear(&c);
 	if (!done)
-		error_set(err, ERR_OVERLOAD, "too many edits at once");
+		error_set(err, ERR_OVERLOAD, "too many concurrent edits");
 	return done;
 }
 
-/* The audit trail of edits, newest last. */
+/* Read the audit entries of edits, oldest first. */
 json_t *config_history(struct store *s, GError **err)
 {
 	struct store_range r;
@@ -375,7 +388,7 @@
 	return out;
 }
 
-/* Parse all sections of a snapshot; NULL where there are problems. */
+/* Parse all sections of a snapshot. Logs the first problem and returns NULL on failure. */
 struct doc *config_parse(const struct config_snapshot *c)
 {
 	struct doc_problems problems = STAILQ_HEAD_INITIALIZER(problems);
