--- a/packages/standin/standin-store.c
+++ b/packages/standin/standin-store.c
@@ -8,13 +8,13 @@
 #include <unistd.h>
 
 /*
- * Stands in for the platform's key-value service in tests: the few calls of etcd's v3 JSON
- * protocol that the product uses, over a store in memory. POST /control changes how it
- * behaves: {"down":true}, {"slow_ms":200}, {"drop_answers":3}, {"expire_leases":true},
- * {"compact":true}. GET /calls tells the calls by kind.
+ * Test server for the key-value store. It implements the calls of etcd's v3 JSON API that the
+ * product uses on top of an in-memory store. POST /control injects faults: {"down":true},
+ * {"slow_ms":200}, {"drop_answers":3}, {"expire_leases":true}, {"compact":true}. GET /calls
+ * returns the number of calls by kind.
  */
 
-#define BODY_MAX (2u * 1024 * 1024)
+#define BODY_MAX_BYTES (2u * 1024 * 1024)
 
 struct faults {
 	bool down;
@@ -31,8 +31,8 @@
 	GByteArray *body;
 };
 
-/* Answer with JSON; owns o. */
-static enum MHD_Result reply(struct MHD_Connection *conn, unsigned int status, json_t *o)
+/* Send a JSON response; takes ownership of o. */
+static enum MHD_Result send_json(struct MHD_Connection *conn, unsigned int status, json_t *o)
 {
 	char *text = json_dumps(o, JSON_COMPACT);
 	struct MHD_Response *r =
@@ -46,8 +46,8 @@
 	return res;
 }
 
-/* An answer with a header, as the protocol has it. */
-static json_t *with_header(int64_t revision)
+/* Create a response with the header that carries the store revision. */
+static json_t *response_with_header(int64_t revision)
 {
 	json_t *header = json_object();
 
@@ -55,8 +55,8 @@
 	return json_pack("{s:o}", "header", header);
 }
 
-/* A base64 member as text. */
-static char *text_member(const json_t *o, const char *name)
+/* Decode a base64 member to a string. */
+static char *decode_text_member(const json_t *o, const char *name)
 {
 	struct bytes b = {0};
 
@@ -64,10 +64,10 @@
 	return b.data;
 }
 
-/* range */
-static json_t *do_range(const json_t *in)
+/* Any range_end selects all keys with the prefix, whatever its value. */
+static json_t *handle_range(const json_t *in)
 {
-	AUTOFREE char *key = text_member(in, "key");
+	AUTOFREE char *key = decode_text_member(in, "key");
 	json_t *kvs = json_array();
 	struct store_range r;
 	json_t *out;
@@ -75,19 +75,19 @@
 	store_get_range(store, key, json_object_get(in, "range_end") == NULL, &r, NULL);
 	for (size_t i = 0; i < r.len; i++)
 		json_array_append_new(kvs, store_json_encode_kv(&r.kvs[i]));
-	out = with_header(r.revision);
+	out = response_with_header(r.revision);
 	store_json_set_int(out, "count", (int64_t)r.len);
 	json_object_set_new(out, "kvs", kvs);
 	store_range_clear(&r);
 	return out;
 }
 
-/* Fill one compare; the key is owned by keys. */
-static struct store_compare read_compare(const json_t *c, GPtrArray *keys)
+/* Decode one compare of a transaction; keys takes ownership of its key. */
+static struct store_compare decode_compare(const json_t *c, GPtrArray *keys)
 {
 	const char *target = json_string_value(json_object_get(c, "target"));
 	bool mod = target != NULL && strcmp(target, "MOD") == 0;
-	struct store_compare out = {.key = text_member(c, "key"),
+	struct store_compare out = {.key = decode_text_member(c, "key"),
 		.target = mod ? STORE_MOD_REVISION : STORE_CREATE_REVISION};
 
 	out.revision = store_json_get_int(
@@ -96,13 +96,13 @@
 	return out;
 }
 
-/* Fill one operation; key and value are owned by keys. */
-static struct store_op read_op(const json_t *o, GPtrArray *keys)
+/* Decode one operation of a transaction; keys takes ownership of its key and value. */
+static struct store_op decode_op(const json_t *o, GPtrArray *keys)
 {
 	const json_t *put = json_object_get(o, "request_put");
 	const json_t *in = put != NULL ? put : json_object_get(o, "request_delete_range");
-	struct store_op op = {
-		.kind = put != NULL ? STORE_PUT : STORE_DELETE, .key = text_member(in, "key")};
+	struct store_op op = {.kind = put != NULL ? STORE_PUT : STORE_DELETE,
+		.key = decode_text_member(in, "key")};
 	struct bytes value = {0};
 
 	store_json_decode64(json_object_get(in, "value"), &value);
@@ -114,8 +114,8 @@
 	return op;
 }
 
-/* txn */
-static json_t *do_txn(const json_t *in)
+/* Run a transaction. An error of the store is reported as a failed compare. */
+static json_t *handle_txn(const json_t *in)
 {
 	const json_t *compares = json_object_get(in, "compare");
 	const json_t *ops = json_object_get(in, "success");
@@ -128,11 +128,11 @@
 	json_t *out;
 
 	for (size_t i = 0; i < txn.compares_len; i++)
-		c[i] = read_compare(json_array_get(compares, i), keys);
+		c[i] = decode_compare(json_array_get(compares, i), keys);
 	for (size_t i = 0; i < txn.ops_len; i++)
-		o[i] = read_op(json_array_get(ops, i), keys);
+		o[i] = decode_op(json_array_get(ops, i), keys);
 	store_run_txn(store, &txn, &ok, &revision, NULL);
-	out = with_header(revision);
+	out = response_with_header(revision);
 	if (ok)
 		json_object_set_new(out, "succeeded", json_true());
 	g_ptr_array_unref(keys);
@@ -141,8 +141,8 @@
 	return out;
 }
 
-/* lease/grant, lease/keepalive, lease/revoke */
-static json_t *do_lease(const char *what, const json_t *in)
+/* what is "grant" or "keepalive"; anything else revokes the lease. */
+static json_t *handle_lease(const char *what, const json_t *in)
 {
 	json_t *out = json_object();
 	int64_t id = store_json_get_int(json_object_get(in, "ID"));
@@ -165,15 +165,16 @@
 	return out;
 }
 
-/* One watch that streams; it is read by the connection's own thread. */
+/* A streaming watch, used only by the thread of its connection. */
 struct watch {
 	char *prefix;
 	int64_t from;
 	GString *out;
 };
 
-/* Put the events of a revision into the stream, then let the reader have them. */
-static bool on_events(const struct store_event *events, size_t len, int64_t revision, void *arg)
+/* Append the events of one revision to the stream, then return to the content reader. */
+static bool append_events(
+	const struct store_event *events, size_t len, int64_t revision, void *arg)
 {
 	struct watch *w = arg;
 	json_t *list = json_array();
@@ -191,7 +192,7 @@
 			json_object_set_new(ev, "type", json_string("DELETE"));
 		json_array_append_new(list, ev);
 	}
-	out = with_header(revision);
+	out = response_with_header(revision);
 	json_object_set_new(out, "events", list);
 	out = json_pack("{s:o}", "result", out);
 	text = json_dumps(out, JSON_COMPACT);
@@ -202,7 +203,7 @@
 	return false;
 }
 
-/* The library wants more of a stream. */
+/* Content reader callback of libmicrohttpd: waits for events and copies them to buf. */
 static ssize_t read_watch(void *arg, uint64_t pos, char *buf, size_t max)
 {
 	struct watch *w = arg;
@@ -213,7 +214,7 @@
 	while (w->out->len == 0) {
 		if (__atomic_load_n(&faults.down, __ATOMIC_RELAXED))
 			return MHD_CONTENT_READER_END_WITH_ERROR;
-		if (store_watch(store, w->prefix, w->from, on_events, w, &err))
+		if (store_watch(store, w->prefix, w->from, append_events, w, &err))
 			continue;
 		g_string_append(w->out,
 			"{\"result\":{\"canceled\":true,\"compact_revision\":\"1\"}}\n");
@@ -233,15 +234,15 @@
 	free(w);
 }
 
-/* watch */
-static enum MHD_Result do_watch(struct MHD_Connection *conn, const json_t *in)
+/* Start a streaming watch. */
+static enum MHD_Result handle_watch(struct MHD_Connection *conn, const json_t *in)
 {
 	const json_t *create = json_object_get(in, "create_request");
 	struct watch *w = xcalloc(1, sizeof(*w));
 	struct MHD_Response *r;
 	enum MHD_Result res;
 
-	w->prefix = text_member(create, "key");
+	w->prefix = decode_text_member(create, "key");
 	w->from = store_json_get_int(json_object_get(create, "start_revision"));
 	w->out = g_string_new("{\"result\":{\"created\":true}}\n");
 	r = MHD_create_response_from_callback(
@@ -251,8 +252,8 @@
 	return res;
 }
 
-/* Change how the store behaves. */
-static json_t *do_control(const json_t *in)
+/* Set the injected faults, or expire leases or compact the history at once. */
+static json_t *handle_control(const json_t *in)
 {
 	const json_t *v;
 
@@ -272,8 +273,8 @@
 	return json_object();
 }
 
-/* The calls by kind. */
-static json_t *do_calls(void)
+/* Return the number of calls by kind. */
+static json_t *handle_calls(void)
 {
 	json_t *o = json_object();
 
@@ -283,8 +284,8 @@
 	return o;
 }
 
-/* Which call a path is; -1 for none. */
-static int call_of(const char *path)
+/* Map a path to its index in call_names; -1 if it is not a store call. */
+static int call_index(const char *path)
 {
 	if (strcmp(path, "/v3/kv/range") == 0)
 		return 0;
@@ -295,8 +296,8 @@
 	return strcmp(path, "/v3/watch") == 0 ? 3 : -1;
 }
 
-/* Take one from the number of answers to drop. */
-static bool drops_answer(void)
+/* Consume one of the responses to drop; returns false if none are left. */
+static bool take_dropped_answer(void)
 {
 	int64_t left = __atomic_load_n(&faults.drop_answers, __ATOMIC_RELAXED);
 
@@ -308,43 +309,44 @@
 	return false;
 }
 
-/* Answer a whole request. */
-static enum MHD_Result handle(
+/* Handle a complete request. */
+static enum MHD_Result dispatch(
 	struct MHD_Connection *conn, const char *path, const GByteArray *body)
 {
 	json_t *in = json_loadb((const char *)body->data, body->len, 0, NULL);
-	int call = call_of(path);
+	int call = call_index(path);
 	enum MHD_Result res = MHD_NO;
 	json_t *out = NULL;
 
 	if (strcmp(path, "/control") == 0)
-		out = do_control(in);
+		out = handle_control(in);
 	else if (strcmp(path, "/calls") == 0)
-		out = do_calls();
+		out = handle_calls();
 	if (out != NULL || call < 0) {
 		json_decref(in);
-		return reply(conn, out != NULL ? 200 : 404, out != NULL ? out : json_object());
+		return send_json(
+			conn, out != NULL ? 200 : 404, out != NULL ? out : json_object());
 	}
 	__atomic_fetch_add(&calls[call], 1, __ATOMIC_RELAXED);
 	usleep((useconds_t)(__atomic_load_n(&faults.slow_ms, __ATOMIC_RELAXED) * 1000));
 	if (__atomic_load_n(&faults.down, __ATOMIC_RELAXED)) {
 		json_decref(in);
-		return reply(conn, 503, json_object());
+		return send_json(conn, 503, json_object());
 	}
 	if (call == 0)
-		out = do_range(in);
+		out = handle_range(in);
 	else if (call == 1)
-		out = do_txn(in);
+		out = handle_txn(in);
 	else if (call == 2)
-		out = do_lease(path + strlen("/v3/lease/"), in);
+		out = handle_lease(path + strlen("/v3/lease/"), in);
 	else
-		res = do_watch(conn, in);
+		res = handle_watch(conn, in);
 	json_decref(in);
-	if (out != NULL && call == 1 && drops_answer()) {
+	if (out != NULL && call == 1 && take_dropped_answer()) {
 		json_decref(out);
 		return MHD_NO;
 	}
-	return out != NULL ? reply(conn, 200, out) : res;
+	return out != NULL ? send_json(conn, 200, out) : res;
 }
 
 static enum MHD_Result on_request(void *cls, struct MHD_Connection *conn, const char *path,
@@ -362,13 +364,13 @@
 		return MHD_YES;
 	}
 	if (*len > 0) {
-		if (u->body->len + *len > BODY_MAX)
+		if (u->body->len + *len > BODY_MAX_BYTES)
 			return MHD_NO;
 		g_byte_array_append(u->body, (const guint8 *)upload, (guint)*len);
 		*len = 0;
 		return MHD_YES;
 	}
-	return handle(conn, path, u->body);
+	return dispatch(conn, path, u->body);
 }
 
 static void on_completed(void *cls, struct MHD_Connection *conn, void **req,
