--- a/packages/state/cell-term.c
+++ b/packages/state/cell-term.c
@@ -6,8 +6,9 @@
 
 /*
  * Leader election for a cell uses two keys. "term" is persistent and authoritative; it is only
- * replaced by compare-and-swap with a higher term. "lease" is attached to a store lease. While
- * it exists the term is held; once it is gone another agent may try to acquire the next term.
+ * replaced by compare-and-swap with a higher term. "lease" is attached to a store
+ * lease. It only shows that the term is held; once it is gone, another agent may try to acquire
+ * the next term.
  */
 
 #define CELL_PREFIX   STORE_PREFIX "live/cells/"
@@ -61,8 +62,7 @@
 	return token;
 }
 
-/* Read the term and lease keys of a cell. If token is not NULL, *token is the writer's token.
- */
+/* Read the term and lease keys of a cell, and the token of the writer if token is not NULL. */
 static bool read_cell(struct store *s, const struct cell_keys *k, struct cell_term *out,
 	char **token, GError **err)
 {
@@ -99,14 +99,14 @@
 
 /* Read the roster saved by the previous coordinator. */
 static bool read_roster(
-	struct store *s, const struct cell_keys *k, struct cell_term *io, GError **err)
+	struct store *s, const struct cell_keys *k, struct cell_term *t, GError **err)
 {
 	struct store_range r;
 
 	if (!store_get_range(s, k->roster, true, &r, err))
 		return false;
-	free(io->roster);
-	io->roster = r.len == 1 ? xstrdup(r.kvs[0].value.data) : NULL;
+	free(t->roster);
+	t->roster = r.len == 1 ? xstrdup(r.kvs[0].value.data) : NULL;
 	store_range_clear(&r);
 	return true;
 }
@@ -130,7 +130,7 @@
 	const struct cell_term *current_term, int64_t lease, const char *value,
 	const char *token, bool *won, GError **err)
 {
-	g_autoptr(GError) why = NULL;
+	g_autoptr(GError) local_err = NULL;
 	struct store_compare compares[] = {
 		{k->term, STORE_MOD_REVISION, current_term->term_revision},
 		{k->lease, STORE_CREATE_REVISION, 0},
@@ -144,10 +144,10 @@
 	char *writer_token = NULL;
 	int64_t revision;
 
-	if (store_run_txn(s, &txn, won, &revision, &why))
+	if (store_run_txn(s, &txn, won, &revision, &local_err))
 		return true;
-	if (error_kind_of(why) != ERR_STORE_UNSURE) {
-		g_propagate_error(err, g_steal_pointer(&why));
+	if (error_kind_of(local_err) != ERR_STORE_UNSURE) {
+		g_propagate_error(err, g_steal_pointer(&local_err));
 		return false;
 	}
 	if (!read_cell(s, k, &now, &writer_token, err))
@@ -160,11 +160,11 @@
 
 /*
  * Try to acquire the next term. ERR_CONFLICT means that the term is held or that another agent
- * acquired it first; the caller must read it again. On success *io holds the new term, its
+ * acquired it first; the caller must read it again. On success *t holds the new term, its
  * lease and the roster saved during the previous term.
  */
 bool cell_term_take(struct store *s, const char *cell, const char *addr, const char *name,
-	int64_t ttl_s, struct cell_term *io, GError **err)
+	int64_t ttl_s, struct cell_term *t, GError **err)
 {
 	AUTOFREE char *token = random_hex(TOKEN_BYTES);
 	AUTOFREE char *value = NULL;
@@ -188,10 +188,10 @@
 		store_lease_revoke(s, lease, NULL);
 	}
 	if (ok && won) {
-		cell_term_clear(io);
-		ok = read_cell(s, &k, io, NULL, err) && read_roster(s, &k, io, err);
-		io->lease = lease;
-		if (ok && io->term != current_term.term + 1) {
+		cell_term_clear(t);
+		ok = read_cell(s, &k, t, NULL, err) && read_roster(s, &k, t, err);
+		t->lease = lease;
+		if (ok && t->term != current_term.term + 1) {
 			error_set(err, ERR_CONFLICT,
 				"term was superseded right after it was acquired");
 			ok = false;
@@ -204,10 +204,10 @@
 
 /* Write the lease key under a new lease after the old one expired, if the term is unchanged. */
 static bool reacquire_lease(struct store *s, const struct cell_keys *k, int64_t ttl_s,
-	struct cell_term *io, GError **err)
+	struct cell_term *t, GError **err)
 {
 	struct store_compare compares[] = {
-		{k->term, STORE_MOD_REVISION, io->term_revision},
+		{k->term, STORE_MOD_REVISION, t->term_revision},
 		{k->lease, STORE_CREATE_REVISION, 0},
 	};
 	struct store_op op = {STORE_PUT, k->lease, "", 0, 0};
@@ -220,10 +220,10 @@
 		return false;
 	if (!won) {
 		error_set(err, ERR_CONFLICT, "term %" PRIu64 " is no longer held by this agent",
-			io->term);
+			t->term);
 		return false;
 	}
-	io->lease = op.lease;
+	t->lease = op.lease;
 	return true;
 }
 
@@ -232,24 +232,24 @@
  * stays valid until an agent has seen a higher one.
  */
 bool cell_term_renew(
-	struct store *s, const char *cell, int64_t ttl_s, struct cell_term *io, GError **err)
+	struct store *s, const char *cell, int64_t ttl_s, struct cell_term *t, GError **err)
 {
 	struct cell_keys k;
 	int64_t remaining_s = 0;
 	bool ok;
 
-	if (!store_lease_keepalive(s, io->lease, &remaining_s, err))
+	if (!store_lease_keepalive(s, t->lease, &remaining_s, err))
 		return false;
 	if (remaining_s > 0)
 		return true;
 	cell_keys_init(&k, cell);
-	ok = reacquire_lease(s, &k, ttl_s, io, err);
+	ok = reacquire_lease(s, &k, ttl_s, t, err);
 	cell_keys_clear(&k);
 	return ok;
 }
 
 /* Save the names of the cell's workers, if the term is unchanged. */
-bool cell_term_save_roster(struct store *s, const char *cell, struct cell_term *io,
+bool cell_term_save_roster(struct store *s, const char *cell, struct cell_term *t,
 	const char *roster, GError **err)
 {
 	struct cell_keys k;
@@ -261,18 +261,18 @@
 	bool ok;
 
 	cell_keys_init(&k, cell);
-	compare = (struct store_compare){k.term, STORE_MOD_REVISION, io->term_revision};
+	compare = (struct store_compare){k.term, STORE_MOD_REVISION, t->term_revision};
 	op = (struct store_op){STORE_PUT, k.roster, roster, strlen(roster), 0};
 	ok = store_run_txn(s, &txn, &won, &revision, err);
 	if (ok && !won)
 		error_set(err, ERR_CONFLICT, "term %" PRIu64 " is no longer held by this agent",
-			io->term);
+			t->term);
 	cell_keys_clear(&k);
 	return ok && won;
 }
 
 /* Revoke the lease, so that another agent need not wait for it to expire. */
-bool cell_term_release(struct store *s, struct cell_term *io, GError **err)
+bool cell_term_release(struct store *s, struct cell_term *t, GError **err)
 {
-	return store_lease_revoke(s, io->lease, err);
+	return store_lease_revoke(s, t->lease, err);
 }
