--- a/packages/state/config-store.c
+++ b/packages/state/config-store.c
@@ -142,42 +142,42 @@
  * the snapshot, as the configuration must never go back to an older version, or if concurrent
  * edits prevent a consistent read.
  */
-bool config_load(struct store *s, struct config_snapshot *io, GError **err)
+bool config_load(struct store *s, struct config_snapshot *snapshot, GError **err)
 {
 	for (int i = 0; i < LOAD_ATTEMPTS_MAX; i++) {
-		g_autoptr(GError) why = NULL;
+		g_autoptr(GError) local_err = NULL;
 		GPtrArray *sections;
 		int64_t revision;
-		json_t *head = read_json(s, HEAD_KEY, &revision, &why);
+		json_t *head = read_json(s, HEAD_KEY, &revision, &local_err);
 		uint64_t number = (uint64_t)json_integer_value(json_object_get(head, "number"));
 		bool changed = false;
 		bool ok;
 
-		if (why != NULL) {
-			g_propagate_error(err, g_steal_pointer(&why));
+		if (local_err != NULL) {
+			g_propagate_error(err, g_steal_pointer(&local_err));
 			return false;
 		}
-		if (number < io->number) {
+		if (number < snapshot->number) {
 			json_decref(head);
 			error_set(err, ERR_CONFLICT,
 				"stored configuration %" PRIu64
 				" is older than the loaded configuration %" PRIu64,
-				number, io->number);
+				number, snapshot->number);
 			return false;
 		}
-		if (revision == io->head_revision && io->sections != NULL) {
+		if (revision == snapshot->head_revision && snapshot->sections != NULL) {
 			json_decref(head);
 			return true;
 		}
 		sections = g_ptr_array_new_with_free_func(doc_section_free);
-		ok = load_sections(
-			s, io, json_object_get(head, "sections"), sections, &changed, err);
+		ok = load_sections(s, snapshot, json_object_get(head, "sections"), sections,
+			&changed, err);
 		json_decref(head);
 		if (ok && !changed) {
-			config_snapshot_clear(io);
-			io->sections = sections;
-			io->head_revision = revision;
-			io->number = number;
+			config_snapshot_clear(snapshot);
+			snapshot->sections = sections;
+			snapshot->head_revision = revision;
+			snapshot->number = number;
 			return true;
 		}
 		g_ptr_array_unref(sections);
@@ -290,15 +290,15 @@
 static bool verify_edit(
 	struct store *s, uint64_t number, const char *token, bool *written, GError **err)
 {
-	g_autoptr(GError) why = NULL;
+	g_autoptr(GError) local_err = NULL;
 	AUTOFREE char *key = NULL;
 	const char *found;
 	int64_t revision;
 	json_t *o;
 
 	xasprintf(&key, "%s%010" PRIu64, AUDIT_PREFIX, number);
-	o = read_json(s, key, &revision, &why);
-	if (why != NULL) {
+	o = read_json(s, key, &revision, &local_err);
+	if (local_err != NULL) {
 		error_set(err, ERR_STORE_UNSURE,
 			"unknown whether the edit was written: check \"config history\"");
 		return false;
@@ -335,7 +335,7 @@
 	bool done = false;
 
 	for (int i = 0; i < PUT_ATTEMPTS_MAX && !done; i++) {
-		g_autoptr(GError) why = NULL;
+		g_autoptr(GError) local_err = NULL;
 		const struct doc_section *now;
 
 		if (!config_load(s, &c, err))
@@ -354,10 +354,10 @@
 			break;
 		}
 		*number = c.number + 1;
-		if (write_edit(s, &c, edit, *number, token, &done, &why))
+		if (write_edit(s, &c, edit, *number, token, &done, &local_err))
 			continue;
-		if (error_kind_of(why) != ERR_STORE_UNSURE) {
-			g_propagate_error(err, g_steal_pointer(&why));
+		if (error_kind_of(local_err) != ERR_STORE_UNSURE) {
+			g_propagate_error(err, g_steal_pointer(&local_err));
 			break;
 		}
 		if (!verify_edit(s, *number, token, &done, err))
