--- a/packages/state/state.h
+++ b/packages/state/state.h
@@ -238,8 +238,7 @@
 	int64_t head_revision;
 	uint64_t number;
 };
-/* Replaces a section. base is the number of the version that was edited; 0 for a new section.
- */
+/* Replaces a section. base is the number of the edited version; 0 for a new section. */
 struct config_edit {
 	const char *section;
 	const char *text;
@@ -247,7 +246,7 @@
 	const char *who;
 	int64_t wall_ns;
 };
-bool config_load(struct store *s, struct config_snapshot *io, GError **err);
+bool config_load(struct store *s, struct config_snapshot *snapshot, GError **err);
 void config_snapshot_clear(struct config_snapshot *c);
 void config_snapshot_copy(struct config_snapshot *to, const struct config_snapshot *from);
 const struct doc_section *config_find(const struct config_snapshot *c, const char *section);
@@ -271,12 +270,12 @@
 };
 bool cell_term_read(struct store *s, const char *cell, struct cell_term *out, GError **err);
 bool cell_term_take(struct store *s, const char *cell, const char *addr, const char *name,
-	int64_t ttl_s, struct cell_term *io, GError **err);
+	int64_t ttl_s, struct cell_term *t, GError **err);
 bool cell_term_renew(
-	struct store *s, const char *cell, int64_t ttl_s, struct cell_term *io, GError **err);
-bool cell_term_save_roster(struct store *s, const char *cell, struct cell_term *io,
+	struct store *s, const char *cell, int64_t ttl_s, struct cell_term *t, GError **err);
+bool cell_term_save_roster(struct store *s, const char *cell, struct cell_term *t,
 	const char *roster, GError **err);
-bool cell_term_release(struct store *s, struct cell_term *io, GError **err);
+bool cell_term_release(struct store *s, struct cell_term *t, GError **err);
 void cell_term_clear(struct cell_term *t);
 
 /* job-store.c: persistent records of accepted jobs. */
