--- a/packages/protocol/protocol.h
+++ b/packages/protocol/protocol.h
@@ -3,14 +3,14 @@
 
 #include "base.h"
 
-/* Limits of what a job may carry, in bytes. */
+/* Limits on a job's fields: lengths in bytes, and the number of accelerators. */
 #define JOB_ID_MAX	     64
 #define JOB_NAME_MAX	     64
 #define JOB_KEY_MAX	     128
 #define JOB_PAYLOAD_MAX	     (1024 * 1024)
 #define JOB_ACCELERATORS_MAX 64
 
-/* How close together the accelerators of a job have to be. */
+/* Locality constraint on a job's accelerators. */
 enum adjacency {
 	ADJACENCY_ANY,
 	ADJACENCY_RACK,
@@ -19,7 +19,7 @@
 const char *adjacency_name(enum adjacency a);
 bool adjacency_parse(const char *name, enum adjacency *a);
 
-/* How a job ended, or that it has not yet. */
+/* How a job ended; OUTCOME_NONE while it has not. */
 enum outcome {
 	OUTCOME_NONE,
 	OUTCOME_DONE,
@@ -31,7 +31,12 @@
 const char *outcome_name(enum outcome o);
 bool outcome_parse(const char *name, enum outcome *o);
 
-/* What a job asks for. Times are in milliseconds. */
+/*
+ * A job as its caller submitted it. key is the caller's idempotency key and fingerprint the
+ * digest of the request body, which detects reuse of a key for another request. durable means
+ * that the job is recorded in the store before it is accepted. deadline_ms is the time left
+ * when the message is sent; submitted_wall_ms is wall-clock time.
+ */
 struct job_spec {
 	char *id;
 	char *org;
@@ -55,7 +60,7 @@
 	struct bytes payload;
 };
 
-/* How a job ended, with the upstream's answer where there is one. */
+/* How a job ended, and the upstream's response (status, type, body) if there was one. */
 struct job_result {
 	uint32_t outcome;
 	uint32_t error;
@@ -72,7 +77,7 @@
 	ROLE_AGENT
 };
 
-/* First message of each side that dials. */
+/* First message from the side that opens a connection. */
 struct msg_hello {
 	uint32_t role;
 	char *name;
@@ -82,7 +87,7 @@
 	uint64_t term;
 };
 
-/* The coordinator's answer to a hello; term 0 says that it is not a coordinator. */
+/* Reply to a hello; term 0 means that the peer is not a coordinator. */
 struct msg_welcome {
 	uint64_t term;
 	char *cell;
@@ -92,7 +97,7 @@
 	uint32_t grace_ms;
 };
 
-/* What an agent's upstream offers; sent when it changes. */
+/* Capacity and status of an agent's upstream; sent when they change. */
 struct msg_report {
 	uint64_t term;
 	char *worker;
@@ -114,7 +119,11 @@
 	MEMBER_ENDED
 };
 
-/* One member that an agent holds, with all that a new coordinator needs of its job. */
+/*
+ * One member of a job on an agent, with the job data that a new coordinator needs to take it
+ * over. size is the number of members of the gang, roster the agents' addresses separated by
+ * commas, in the order of the members. end is an enum member_end, valid in MEMBER_ENDED.
+ */
 struct member_record {
 	struct job_spec spec;
 	uint32_t attempt;
@@ -128,14 +137,14 @@
 	char *roster;
 };
 
-/* An agent's ground truth, sent when it adopts a term. */
+/* All members that an agent holds, sent when it adopts a term. */
 struct msg_inventory {
 	uint64_t term;
 	struct member_record *members;
 	uint32_t members_len;
 };
 
-/* Sign of life with the usage that the upstream reported last. */
+/* Heartbeat with the usage that the upstream last reported. */
 struct msg_beat {
 	uint64_t term;
 	uint32_t members;
@@ -150,7 +159,7 @@
 	char *successors;
 };
 
-/* Reserve a member; with start set, a lone member starts at once. */
+/* Reserves capacity for a member; with start set, a single member starts at once. */
 struct msg_reserve {
 	uint64_t term;
 	struct job_spec spec;
@@ -177,6 +186,7 @@
 	char *roster;
 };
 
+/* Drop a reservation, stop after saving a checkpoint, or stop immediately. */
 enum stop_mode {
 	STOP_RELEASE,
 	STOP_CHECKPOINT,
@@ -190,7 +200,10 @@
 	uint32_t grace_ms;
 };
 
-/* How one member's part ended. */
+/*
+ * How one member of a job ended. MEMBER_END_LOST is set by the coordinator: the agent is gone
+ * and the member may have started.
+ */
 enum member_end {
 	MEMBER_END_DONE,
 	MEMBER_END_FAILED,
@@ -199,6 +212,7 @@
 	MEMBER_END_UNKNOWN,
 	MEMBER_END_LOST
 };
+/* member is UINT32_MAX where the agent knows no member of the attempt. */
 struct msg_ended {
 	uint64_t term;
 	char *job;
@@ -214,7 +228,7 @@
 	uint32_t attempt;
 };
 
-/* Agent to agent: a running gang's members to member 0, and its answers. */
+/* Heartbeat between agents: from a gang's members to member 0, and its replies. */
 struct msg_gang_beat {
 	char *job;
 	uint32_t attempt;
@@ -223,13 +237,21 @@
 	bool done;
 };
 
-/* Entry to coordinator. again is set when an earlier term may have seen the job. */
+/*
+ * Entry to coordinator. again is set when the job was sent before, so that a coordinator, also
+ * of an earlier term, may have it already; last_term is the term it was last sent to.
+ */
 struct msg_submit {
 	struct job_spec spec;
 	bool again;
 	uint64_t last_term;
 	bool wait;
 };
+/*
+ * Coordinator to entry. accepted_only means that the job is accepted but has not ended.
+ * returned means that a coordinator about to stop hands the job back, which no agent was told
+ * of; the next coordinator receives it as a new job.
+ */
 struct msg_answer {
 	char *job;
 	uint64_t term;
@@ -256,7 +278,7 @@
 	char *json;
 };
 
-/* A cell's state as entries see it. */
+/* Load of a cell, for the entries. oldest_ms is the age of the oldest queued job. */
 struct msg_summary {
 	uint64_t term;
 	char *cell;
@@ -293,7 +315,7 @@
 	MSG_KIND_END
 };
 
-/* Any message; kind tells which member of the union is valid. */
+/* A message of any kind; kind selects the member of the union. */
 struct msg {
 	enum msg_kind kind;
 	union {
@@ -319,7 +341,7 @@
 	};
 };
 
-/* field.c: one table per struct drives encoding, decoding, copying and freeing. */
+/* field.c: encoding, decoding, copying and freeing of structs described by field tables. */
 enum field_kind {
 	FIELD_U32,
 	FIELD_U64,
