--- a/packages/protocol/field-macros.h
+++ b/packages/protocol/field-macros.h
@@ -1,7 +1,10 @@
 #ifndef DP_FIELD_MACROS_H
 #define DP_FIELD_MACROS_H
 
-/* Short forms for the rows of field tables; only for files that hold such tables. */
+/*
+ * Initialisers for field tables. The names are short and unprefixed, so only files that define
+ * such tables include this header.
+ */
 
 #define FIELD(k, s, f)                                                                         \
 	{                                                                                      \
