--- a/packages/protocol/field.c
+++ b/packages/protocol/field.c
@@ -4,19 +4,19 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define LIST_MAX 100000
+#define LIST_ITEMS_MAX 100000 /* items in one list */
 
 /*
- * A struct travels as an array of its fields in the table's order. Fields may only be added
- * at the end: a shorter array leaves the rest zero, and what follows the known fields is
- * passed over, so that two versions can talk while the fleet is replaced.
+ * A struct is encoded as an array of its fields in the order of the table. New fields may only
+ * be added at the end: fields missing from a shorter array stay zero, and elements after the
+ * known fields are ignored. This lets two versions communicate during a rolling upgrade.
  */
 
-#define AT(s, f, type) ((type *)((char *)(s) + (f)->offset))
+#define FIELD_PTR(s, f, type) ((type *)((char *)(s) + (f)->offset))
 
 static void pack_struct(msgpack_packer *pk, const struct field_table *t, const void *s);
 
-/* Pack one field. */
+/* Pack one field of a struct. */
 static void pack_field(msgpack_packer *pk, const struct field *f, void *s)
 {
 	const struct bytes *b;
@@ -25,44 +25,44 @@
 
 	switch (f->kind) {
 	case FIELD_U32:
-		msgpack_pack_uint32(pk, *AT(s, f, uint32_t));
+		msgpack_pack_uint32(pk, *FIELD_PTR(s, f, uint32_t));
 		break;
 	case FIELD_U64:
-		msgpack_pack_uint64(pk, *AT(s, f, uint64_t));
+		msgpack_pack_uint64(pk, *FIELD_PTR(s, f, uint64_t));
 		break;
 	case FIELD_I64:
-		msgpack_pack_int64(pk, *AT(s, f, int64_t));
+		msgpack_pack_int64(pk, *FIELD_PTR(s, f, int64_t));
 		break;
 	case FIELD_BOOL:
-		if (*AT(s, f, bool))
+		if (*FIELD_PTR(s, f, bool))
 			msgpack_pack_true(pk);
 		else
 			msgpack_pack_false(pk);
 		break;
 	case FIELD_TEXT:
-		text = *AT(s, f, char *);
+		text = *FIELD_PTR(s, f, char *);
 		if (text == NULL)
 			msgpack_pack_nil(pk);
 		else
 			msgpack_pack_str_with_body(pk, text, strlen(text));
 		break;
 	case FIELD_BYTES:
-		b = AT(s, f, struct bytes);
+		b = FIELD_PTR(s, f, struct bytes);
 		msgpack_pack_bin_with_body(pk, b->data ? b->data : "", b->len);
 		break;
 	case FIELD_STRUCT:
-		pack_struct(pk, f->sub, AT(s, f, char));
+		pack_struct(pk, f->sub, FIELD_PTR(s, f, char));
 		break;
 	case FIELD_LIST:
 		n = *(uint32_t *)((char *)s + f->len_offset);
 		msgpack_pack_array(pk, n);
 		for (uint32_t i = 0; i < n; i++)
-			pack_struct(pk, f->sub, *AT(s, f, char *) + i * f->sub->size);
+			pack_struct(pk, f->sub, *FIELD_PTR(s, f, char *) + i * f->sub->size);
 		break;
 	}
 }
 
-/* Pack a struct as an array. */
+/* Pack a struct as an array of its fields. */
 static void pack_struct(msgpack_packer *pk, const struct field_table *t, const void *s)
 {
 	msgpack_pack_array(pk, t->count);
@@ -70,7 +70,7 @@
 		pack_field(pk, &t->fields[i], (void *)s);
 }
 
-/* Encode a struct. */
+/* Encode a struct; the caller frees the result with bytes_clear. */
 struct bytes fields_encode(const struct field_table *t, const void *s)
 {
 	msgpack_sbuffer buf;
@@ -87,17 +87,17 @@
 
 static bool unpack_struct(const struct field_table *t, void *s, const msgpack_object *o);
 
-/* Unpack a list of structs. */
+/* Unpack a list of structs. On failure the list holds the items decoded so far. */
 static bool unpack_list(const struct field *f, void *s, const msgpack_object *o)
 {
 	uint32_t n;
 	char *items;
 
-	if (o->type != MSGPACK_OBJECT_ARRAY || o->via.array.size > LIST_MAX)
+	if (o->type != MSGPACK_OBJECT_ARRAY || o->via.array.size > LIST_ITEMS_MAX)
 		return false;
 	n = o->via.array.size;
 	items = xcalloc(n, f->sub->size);
-	*AT(s, f, char *) = items;
+	*FIELD_PTR(s, f, char *) = items;
 	*(uint32_t *)((char *)s + f->len_offset) = n;
 	for (uint32_t i = 0; i < n; i++) {
 		if (!unpack_struct(f->sub, items + i * f->sub->size, &o->via.array.ptr[i]))
@@ -106,7 +106,7 @@
 	return true;
 }
 
-/* Copy a text object; texts with zero bytes inside are refused. */
+/* Copy a string; nil leaves NULL, and a string with an embedded NUL is rejected. */
 static bool unpack_text(char **out, const msgpack_object *o)
 {
 	if (o->type == MSGPACK_OBJECT_NIL)
@@ -118,48 +118,48 @@
 	return true;
 }
 
-/* Unpack one field; false where the type does not match. */
+/* Unpack one field; false if the type or range does not match. */
 static bool unpack_field(const struct field *f, void *s, const msgpack_object *o)
 {
-	bool whole = o->type == MSGPACK_OBJECT_POSITIVE_INTEGER;
+	bool is_uint = o->type == MSGPACK_OBJECT_POSITIVE_INTEGER;
 
 	switch (f->kind) {
 	case FIELD_U32:
-		if (!whole || o->via.u64 > UINT32_MAX)
+		if (!is_uint || o->via.u64 > UINT32_MAX)
 			return false;
-		*AT(s, f, uint32_t) = (uint32_t)o->via.u64;
+		*FIELD_PTR(s, f, uint32_t) = (uint32_t)o->via.u64;
 		return true;
 	case FIELD_U64:
-		if (whole)
-			*AT(s, f, uint64_t) = o->via.u64;
-		return whole;
+		if (is_uint)
+			*FIELD_PTR(s, f, uint64_t) = o->via.u64;
+		return is_uint;
 	case FIELD_I64:
-		if (!(whole && o->via.u64 <= INT64_MAX) &&
+		if (!(is_uint && o->via.u64 <= INT64_MAX) &&
 			o->type != MSGPACK_OBJECT_NEGATIVE_INTEGER)
 			return false;
-		*AT(s, f, int64_t) = o->via.i64;
+		*FIELD_PTR(s, f, int64_t) = o->via.i64;
 		return true;
 	case FIELD_BOOL:
 		if (o->type != MSGPACK_OBJECT_BOOLEAN)
 			return false;
-		*AT(s, f, bool) = o->via.boolean;
+		*FIELD_PTR(s, f, bool) = o->via.boolean;
 		return true;
 	case FIELD_TEXT:
-		return unpack_text(AT(s, f, char *), o);
+		return unpack_text(FIELD_PTR(s, f, char *), o);
 	case FIELD_BYTES:
 		if (o->type != MSGPACK_OBJECT_BIN)
 			return false;
-		*AT(s, f, struct bytes) = bytes_copy(o->via.bin.ptr, o->via.bin.size);
+		*FIELD_PTR(s, f, struct bytes) = bytes_copy(o->via.bin.ptr, o->via.bin.size);
 		return true;
 	case FIELD_STRUCT:
-		return unpack_struct(f->sub, AT(s, f, char), o);
+		return unpack_struct(f->sub, FIELD_PTR(s, f, char), o);
 	case FIELD_LIST:
 		return unpack_list(f, s, o);
 	}
 	return false;
 }
 
-/* Unpack a struct from an array. */
+/* Unpack a struct from an array; extra elements are ignored. */
 static bool unpack_struct(const struct field_table *t, void *s, const msgpack_object *o)
 {
 	if (o->type != MSGPACK_OBJECT_ARRAY)
@@ -171,18 +171,18 @@
 	return true;
 }
 
-/* Decode into a zeroed struct; on an error it is left cleared. */
+/* Decode into a zeroed struct, which is cleared again on an error. */
 bool fields_decode(
 	const struct field_table *t, void *s, const void *data, size_t len, GError **err)
 {
-	msgpack_unpacked un;
-	size_t at = 0;
+	msgpack_unpacked unpacked;
+	size_t consumed = 0;
 	bool ok;
 
-	msgpack_unpacked_init(&un);
-	ok = msgpack_unpack_next(&un, data, len, &at) == MSGPACK_UNPACK_SUCCESS && at == len &&
-	     unpack_struct(t, s, &un.data);
-	msgpack_unpacked_destroy(&un);
+	msgpack_unpacked_init(&unpacked);
+	ok = msgpack_unpack_next(&unpacked, data, len, &consumed) == MSGPACK_UNPACK_SUCCESS &&
+	     consumed == len && unpack_struct(t, s, &unpacked.data);
+	msgpack_unpacked_destroy(&unpacked);
 	if (ok)
 		return true;
 	fields_clear(t, s);
@@ -190,7 +190,7 @@
 	return false;
 }
 
-/* Free what a struct holds and zero it. */
+/* Free the memory that a struct's fields own and zero the struct. */
 void fields_clear(const struct field_table *t, void *s)
 {
 	for (size_t i = 0; i < t->count; i++) {
@@ -199,19 +199,20 @@
 
 		switch (f->kind) {
 		case FIELD_TEXT:
-			free(*AT(s, f, char *));
+			free(*FIELD_PTR(s, f, char *));
 			break;
 		case FIELD_BYTES:
-			bytes_clear(AT(s, f, struct bytes));
+			bytes_clear(FIELD_PTR(s, f, struct bytes));
 			break;
 		case FIELD_STRUCT:
-			fields_clear(f->sub, AT(s, f, char));
+			fields_clear(f->sub, FIELD_PTR(s, f, char));
 			break;
 		case FIELD_LIST:
 			n = *(uint32_t *)((char *)s + f->len_offset);
 			for (uint32_t j = 0; j < n; j++)
-				fields_clear(f->sub, *AT(s, f, char *) + j * f->sub->size);
-			free(*AT(s, f, char *));
+				fields_clear(
+					f->sub, *FIELD_PTR(s, f, char *) + j * f->sub->size);
+			free(*FIELD_PTR(s, f, char *));
 			break;
 		case FIELD_U32:
 		case FIELD_U64:
@@ -223,7 +224,7 @@
 	memset(s, 0, t->size);
 }
 
-/* Copy a struct with all that it holds. */
+/* Deep-copy a struct; the previous contents of the target are overwritten, not freed. */
 void fields_copy(const struct field_table *t, void *to, const void *from)
 {
 	memcpy(to, from, t->size);
@@ -235,23 +236,23 @@
 
 		switch (f->kind) {
 		case FIELD_TEXT:
-			*AT(to, f, char *) = xstrdup(*AT(from, f, char *));
+			*FIELD_PTR(to, f, char *) = xstrdup(*FIELD_PTR(from, f, char *));
 			break;
 		case FIELD_BYTES:
-			b = AT(from, f, struct bytes);
+			b = FIELD_PTR(from, f, struct bytes);
 			if (b->data != NULL)
-				*AT(to, f, struct bytes) = bytes_copy(b->data, b->len);
+				*FIELD_PTR(to, f, struct bytes) = bytes_copy(b->data, b->len);
 			break;
 		case FIELD_STRUCT:
-			fields_copy(f->sub, AT(to, f, char), AT(from, f, char));
+			fields_copy(f->sub, FIELD_PTR(to, f, char), FIELD_PTR(from, f, char));
 			break;
 		case FIELD_LIST:
 			n = *(const uint32_t *)((const char *)from + f->len_offset);
 			items = xcalloc(n, f->sub->size);
 			for (uint32_t j = 0; j < n; j++)
 				fields_copy(f->sub, items + j * f->sub->size,
-					*AT(from, f, char *) + j * f->sub->size);
-			*AT(to, f, char *) = items;
+					*FIELD_PTR(from, f, char *) + j * f->sub->size);
+			*FIELD_PTR(to, f, char *) = items;
 			break;
 		case FIELD_U32:
 		case FIELD_U64:
