--- a/packages/protocol/message.c
+++ b/packages/protocol/message.c
@@ -234,11 +234,11 @@
 };
 static const struct field_table msg_summary_fields = TABLE(msg_summary);
 
-/* The table from kind to name and fields. */
-static const struct msg_entry {
+/* Name and field table of each message kind; kinds without a table are unknown. */
+static const struct msg_type {
 	const char *name;
 	const struct field_table *fields;
-} msg_table[MSG_KIND_END] = {
+} msg_types[MSG_KIND_END] = {
 	[MSG_HELLO] = {"hello", &msg_hello_fields},
 	[MSG_WELCOME] = {"welcome", &msg_welcome_fields},
 	[MSG_REPORT] = {"report", &msg_report_fields},
@@ -260,22 +260,22 @@
 	[MSG_SUMMARY] = {"summary", &msg_summary_fields},
 };
 
-/* Whether a kind is one that we know. */
-static bool is_kind(uint32_t kind)
+/* Whether a kind byte from the wire stands for a message of this version. */
+static bool is_known_kind(uint32_t kind)
 {
-	return kind < MSG_KIND_END && msg_table[kind].fields != NULL;
+	return kind < MSG_KIND_END && msg_types[kind].fields != NULL;
 }
 
-/* The name of a kind. */
+/* Return the name of a kind for log lines; "unknown" for an unknown one. */
 const char *msg_name(enum msg_kind kind)
 {
-	return is_kind(kind) ? msg_table[kind].name : "unknown";
+	return is_known_kind(kind) ? msg_types[kind].name : "unknown";
 }
 
-/* Encode a message: one byte of kind, then the fields. */
+/* Encode a message: one byte for the kind, then the encoded fields. */
 struct bytes msg_encode(const struct msg *m)
 {
-	struct bytes fields = fields_encode(msg_table[m->kind].fields, &m->hello);
+	struct bytes fields = fields_encode(msg_types[m->kind].fields, &m->hello);
 	struct bytes out = {.data = xmalloc(fields.len + 1), .len = fields.len + 1};
 
 	*(uint8_t *)out.data = (uint8_t)m->kind;
@@ -284,23 +284,23 @@
 	return out;
 }
 
-/* Decode a message; the caller clears it. */
+/* Decode a message; on success the caller frees it with msg_clear. */
 bool msg_decode(struct msg *m, const void *data, size_t len, GError **err)
 {
 	const uint8_t *p = data;
 
 	memset(m, 0, sizeof(*m));
-	if (len < 1 || !is_kind(p[0])) {
+	if (len < 1 || !is_known_kind(p[0])) {
 		error_set(err, ERR_PROTOCOL, "a message of unknown kind");
 		return false;
 	}
 	m->kind = (enum msg_kind)p[0];
-	return fields_decode(msg_table[m->kind].fields, &m->hello, p + 1, len - 1, err);
+	return fields_decode(msg_types[m->kind].fields, &m->hello, p + 1, len - 1, err);
 }
 
-/* Free what a message holds. */
+/* Free the memory that a message's fields own. */
 void msg_clear(struct msg *m)
 {
-	if (is_kind(m->kind))
-		fields_clear(msg_table[m->kind].fields, &m->hello);
+	if (is_known_kind(m->kind))
+		fields_clear(msg_types[m->kind].fields, &m->hello);
 }
