--- a/packages/protocol/names.c
+++ b/packages/protocol/names.c
@@ -6,7 +6,7 @@
 static const char *const outcome_names[] = {
 	"none", "done", "failed", "cancelled", "not_run", "unknown"};
 
-/* Find a name in a list; -1 where it is not there. */
+/* Return the index of a name in a list, or -1 if it is not in it. */
 static int find_name(const char *const *names, size_t count, const char *name)
 {
 	for (size_t i = 0; i < count; i++) {
@@ -16,13 +16,13 @@
 	return -1;
 }
 
-/* The name of an adjacency. */
+/* Return the name of an adjacency; a value out of range gives that of ADJACENCY_ANY. */
 const char *adjacency_name(enum adjacency a)
 {
 	return adjacency_names[(size_t)a < ARRAY_LEN(adjacency_names) ? a : ADJACENCY_ANY];
 }
 
-/* Find an adjacency by its name. */
+/* Parse the name of an adjacency; false if there is none of that name. */
 bool adjacency_parse(const char *name, enum adjacency *a)
 {
 	int i = find_name(adjacency_names, ARRAY_LEN(adjacency_names), name);
@@ -32,13 +32,13 @@
 	return i >= 0;
 }
 
-/* The name of an outcome. */
+/* Return the name of an outcome; a value out of range gives that of OUTCOME_UNKNOWN. */
 const char *outcome_name(enum outcome o)
 {
 	return outcome_names[(size_t)o < ARRAY_LEN(outcome_names) ? o : OUTCOME_UNKNOWN];
 }
 
-/* Find an outcome by its name. */
+/* Parse the name of an outcome; false if there is none of that name. */
 bool outcome_parse(const char *name, enum outcome *o)
 {
 	int i = find_name(outcome_names, ARRAY_LEN(outcome_names), name);
