--- a/packages/state/document.c
+++ b/packages/state/document.c
@@ -4,20 +4,20 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define GRACE_DEFAULT	    (5 * NSEC_PER_SEC)
-#define WEIGHT_DEFAULT	    0.5
-#define QUEUE_MAX_DEFAULT   2000
-#define PAYLOAD_MAX_DEFAULT (256 * 1024)
+#define GRACE_DEFAULT_NS	  (5 * NSEC_PER_SEC)
+#define COMPLETION_WEIGHT_DEFAULT 0.5 /* from 0 to 1 */
+#define QUEUE_MAX_DEFAULT_JOBS	  2000
+#define PAYLOAD_MAX_DEFAULT_BYTES (256 * 1024)
 
-/* A document with nothing but defaults. */
+/* Create a document with the default settings and empty lists. */
 struct doc *doc_new(void)
 {
 	struct doc *d = xcalloc(1, sizeof(*d));
 
-	d->grace = GRACE_DEFAULT;
-	d->weight_completion = WEIGHT_DEFAULT;
-	d->queue_max = QUEUE_MAX_DEFAULT;
-	d->payload_max = PAYLOAD_MAX_DEFAULT;
+	d->grace = GRACE_DEFAULT_NS;
+	d->weight_completion = COMPLETION_WEIGHT_DEFAULT;
+	d->queue_max = QUEUE_MAX_DEFAULT_JOBS;
+	d->payload_max = PAYLOAD_MAX_DEFAULT_BYTES;
 	STAILQ_INIT(&d->classes);
 	STAILQ_INIT(&d->cells);
 	STAILQ_INIT(&d->teams);
@@ -25,7 +25,7 @@
 	return d;
 }
 
-/* Free an organisation. */
+/* Free an organisation and its guarantees. */
 static void org_free(struct doc_org *o)
 {
 	struct doc_guarantee *g;
@@ -42,11 +42,11 @@
 	free(o);
 }
 
-/* Free a document. */
+/* Free a document; NULL is allowed. */
 void doc_free(struct doc *d)
 {
 	struct doc_class *c;
-	struct doc_cell *l;
+	struct doc_cell *cell;
 	struct doc_team *t;
 	struct doc_org *o;
 
@@ -57,10 +57,10 @@
 		free(c->name);
 		free(c);
 	}
-	while ((l = STAILQ_FIRST(&d->cells)) != NULL) {
+	while ((cell = STAILQ_FIRST(&d->cells)) != NULL) {
 		STAILQ_REMOVE_HEAD(&d->cells, entry);
-		free(l->name);
-		free(l);
+		free(cell->name);
+		free(cell);
 	}
 	while ((t = STAILQ_FIRST(&d->teams)) != NULL) {
 		STAILQ_REMOVE_HEAD(&d->teams, entry);
@@ -76,7 +76,7 @@
 	free(d);
 }
 
-/* Find an organisation. */
+/* Find an organisation by name; NULL if there is none. */
 const struct doc_org *doc_find_org(const struct doc *d, const char *name)
 {
 	const struct doc_org *o;
@@ -89,7 +89,7 @@
 	return NULL;
 }
 
-/* Find a class. */
+/* Find a class by name; NULL if there is none. */
 const struct doc_class *doc_find_class(const struct doc *d, const char *name)
 {
 	const struct doc_class *c;
@@ -102,7 +102,7 @@
 	return NULL;
 }
 
-/* Find a team. */
+/* Find a team by name; NULL if there is none. */
 const struct doc_team *doc_find_team(const struct doc *d, const char *name)
 {
 	const struct doc_team *t;
@@ -115,7 +115,7 @@
 	return NULL;
 }
 
-/* The form in which the document holds a token: "sha256:" and 64 hexadecimal digits. */
+/* Return a token as the document stores it: "sha256:" and 64 hexadecimal digits. */
 char *doc_token_digest(const char *token)
 {
 	g_autofree char *hex = g_compute_checksum_for_string(G_CHECKSUM_SHA256, token, -1);
@@ -125,7 +125,7 @@
 	return out;
 }
 
-/* Add to a list of what is wrong; key may be NULL. */
+/* Append a problem to a list; key may be NULL. */
 void doc_problem_add(struct doc_problems *list, const char *section, int line, int column,
 	const char *key, const char *fmt, ...)
 {
@@ -157,7 +157,7 @@
 	}
 }
 
-/* A list of problems as JSON. */
+/* Convert a list of problems to a JSON array. */
 json_t *doc_problems_json(const struct doc_problems *list)
 {
 	json_t *out = json_array();
