--- a/packages/state/shape-pack.c
+++ b/packages/state/shape-pack.c
@@ -3,13 +3,15 @@
 #include <string.h>
 
 /*
- * Packing shapes is a bin packing problem; we take the tightest adjacency and the largest
- * shape first and the fullest place that still fits. Where it finds a packing there is one;
- * where it finds none there may still be one, so a caller that refuses errs to the safe side.
+ * Packing shapes is a bin packing problem, solved here by a best-fit decreasing heuristic: the
+ * strictest adjacency and the largest shape first, each on the worker or rack with the least
+ * free accelerators that fits it. A packing that it finds is valid, but it can miss one that
+ * exists, so callers may refuse a set of shapes that would fit and never accept one that
+ * doesn't.
  */
 
-/* Take accelerators from a worker. */
-static void take(struct pack_worker *workers, uint32_t worker, uint32_t n, uint32_t shape,
+/* Allocate accelerators of a worker to a shape. */
+static void allocate(struct pack_worker *workers, uint32_t worker, uint32_t n, uint32_t shape,
 	GArray *pieces)
 {
 	struct pack_piece piece = {.shape = shape, .worker = worker, .accelerators = n};
@@ -18,8 +20,8 @@
 	g_array_append_val(pieces, piece);
 }
 
-/* The worker with the least room that has n free; -1 for none. */
-static int tightest_worker(const struct pack_worker *workers, size_t len, uint32_t n)
+/* Return the worker with the fewest free accelerators, but at least n; -1 for none. */
+static int best_fit_worker(const struct pack_worker *workers, size_t len, uint32_t n)
 {
 	int best = -1;
 
@@ -30,7 +32,7 @@
 	return best;
 }
 
-/* Free accelerators of a rack. */
+/* Return the number of free accelerators of a rack. */
 static uint32_t rack_free(const struct pack_worker *workers, size_t len, uint32_t rack)
 {
 	uint32_t sum = 0;
@@ -40,13 +42,17 @@
 	return sum;
 }
 
-/* Take n from the workers of a rack, or of all racks, the roomiest first. */
-static void take_spread(struct pack_worker *workers, size_t len, int rack, uint32_t n,
-	uint32_t shape, GArray *pieces)
+/*
+ * Allocate n accelerators on the workers of a rack, or of all racks if rack is -1. Takes the
+ * worker with the most free first; what is left at the end goes to the worker that it fits
+ * best. The caller has checked that n are free.
+ */
+static void allocate_across_workers(struct pack_worker *workers, size_t len, int rack,
+	uint32_t n, uint32_t shape, GArray *pieces)
 {
 	while (n > 0) {
 		int best = -1;
-		uint32_t part;
+		uint32_t count;
 
 		for (size_t i = 0; i < len; i++) {
 			if (rack >= 0 && workers[i].rack != (uint32_t)rack)
@@ -54,8 +60,8 @@
 			if (best < 0 || workers[i].free > workers[best].free)
 				best = (int)i;
 		}
-		part = MIN(n, workers[best].free);
-		if (part == n) {
+		count = MIN(n, workers[best].free);
+		if (count == n) {
 			for (size_t i = 0; i < len; i++) {
 				if ((rack < 0 || workers[i].rack == (uint32_t)rack) &&
 					workers[i].free >= n &&
@@ -63,42 +69,42 @@
 					best = (int)i;
 			}
 		}
-		take(workers, (uint32_t)best, part, shape, pieces);
-		n -= part;
+		allocate(workers, (uint32_t)best, count, shape, pieces);
+		n -= count;
 	}
 }
 
-/* Find a place for one shape and take it; pieces are appended. */
+/* Allocate one shape and append its pieces; false, without a change, where it doesn't fit. */
 bool pack_one(const struct pack_shape *shape, uint32_t index, struct pack_worker *workers,
 	size_t workers_len, GArray *pieces)
 {
-	int best = tightest_worker(workers, workers_len, shape->accelerators);
+	int best = best_fit_worker(workers, workers_len, shape->accelerators);
 	uint32_t best_free = 0;
 	uint32_t total = 0;
 	int rack = -1;
 
 	if (best >= 0) {
-		take(workers, (uint32_t)best, shape->accelerators, index, pieces);
+		allocate(workers, (uint32_t)best, shape->accelerators, index, pieces);
 		return true;
 	}
 	if (shape->adjacency == ADJACENCY_WORKER)
 		return false;
 	for (size_t i = 0; i < workers_len; i++) {
-		uint32_t room = rack_free(workers, workers_len, workers[i].rack);
+		uint32_t in_rack = rack_free(workers, workers_len, workers[i].rack);
 
 		total += workers[i].free;
-		if (room >= shape->accelerators && (rack < 0 || room < best_free)) {
+		if (in_rack >= shape->accelerators && (rack < 0 || in_rack < best_free)) {
 			rack = (int)workers[i].rack;
-			best_free = room;
+			best_free = in_rack;
 		}
 	}
 	if (rack < 0 && (shape->adjacency == ADJACENCY_RACK || total < shape->accelerators))
 		return false;
-	take_spread(workers, workers_len, rack, shape->accelerators, index, pieces);
+	allocate_across_workers(workers, workers_len, rack, shape->accelerators, index, pieces);
 	return true;
 }
 
-/* Tight adjacency first, then the large. */
+/* Sort by the strictest adjacency, then by the most accelerators, then by index. */
 static int compare_shapes(const void *a, const void *b, void *arg)
 {
 	const struct pack_shape *shapes = arg;
@@ -113,8 +119,8 @@
 }
 
 /*
- * Pack all shapes; returns how many found a place. *first_failed is the index of the first
- * that did not.
+ * Pack all shapes and return how many fit. *first_failed is set to the index of the first shape
+ * in packing order that does not.
  */
 size_t pack_all(const struct pack_shape *shapes, size_t shapes_len, struct pack_worker *workers,
 	size_t workers_len, GArray *pieces, uint32_t *first_failed)
