--- a/packages/state/document-parse.c
+++ b/packages/state/document-parse.c
@@ -4,12 +4,22 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define ACCELERATORS_MAX 64
-#define WORKERS_MAX	 20000
+#define ACCELERATORS_MAX       64    /* accelerators of a worker or a shape */
+#define WORKERS_MAX	       20000 /* workers of a cell or a rack, instances of a guarantee */
+#define QUOTA_ACCELERATORS_MAX 1000000
+#define QUOTA_JOBS_MAX	       1000000
+#define QUEUE_JOBS_MAX	       1000000
+#define RATE_MAX	       1000000 /* jobs per second */
+#define BURST_JOBS_MAX	       1000000
+#define START_WITHIN_MIN_S     0.1
+#define START_WITHIN_MAX_S     86400
+#define GRACE_MIN_S	       0.1
+#define GRACE_MAX_S	       60
+#define PAYLOAD_MAX_MIN_BYTES  1024 /* smallest value of payload_max */
 
 /*
- * One table per kind of mapping drives parsing and checks. A mapping of names to things has
- * no table of its own: parse_named calls a function for each entry.
+ * Mappings with fixed keys are parsed and checked by a table of keys (parse_keys). In mappings
+ * with user-defined names as keys, parse_named calls a function for each entry.
  */
 enum key_type {
 	KEY_COUNT,
@@ -23,8 +33,13 @@
 };
 
 struct parser;
-typedef void nested_fn(struct parser *p, struct fy_node *value, void *into);
+/* Parses the value of a nested mapping or sequence into dest. */
+typedef void parse_value_fn(struct parser *p, struct fy_node *value, void *dest);
 
+/*
+ * A key of a mapping. min and max limit its value: a count, seconds for a duration, or bytes.
+ * offset is the place of the value in the struct that the mapping is parsed into.
+ */
 struct key {
 	const char *name;
 	enum key_type type;
@@ -32,9 +47,13 @@
 	double min;
 	double max;
 	size_t offset;
-	nested_fn *nested;
+	parse_value_fn *nested;
 };
 
+/*
+ * The section being parsed and the position that problems are reported at. name is the key or
+ * section whose value is parsed.
+ */
 struct parser {
 	const struct doc_section *section;
 	struct doc *doc;
@@ -44,7 +63,7 @@
 	int column;
 };
 
-/* Remember where a scalar stands. */
+/* Set the current position to the start of a scalar. */
 static void set_position(struct parser *p, struct fy_node *n)
 {
 	struct fy_token *t = fy_node_get_scalar_token(n);
@@ -57,18 +76,18 @@
 }
 
 /* Add a problem at the current position. */
-#define problem(p, key, ...)                                                                   \
+#define add_problem(p, key, ...)                                                               \
 	doc_problem_add(                                                                       \
 		(p)->problems, (p)->section->name, (p)->line, (p)->column, key, __VA_ARGS__)
 
-/* The current position as an owned value. */
-static struct doc_where here(const struct parser *p)
+/* Return the current position; the caller frees its section. */
+static struct doc_where current_location(const struct parser *p)
 {
 	return (struct doc_where){
 		.section = xstrdup(p->section->name), .line = p->line, .column = p->column};
 }
 
-/* A whole number within limits. */
+/* Parse a whole number within limits. */
 static bool parse_count(const char *text, double min, double max, uint32_t *out)
 {
 	char *end;
@@ -80,7 +99,7 @@
 	return true;
 }
 
-/* A size with a unit. */
+/* Parse a size with a unit; *out is set also where it is out of limits. */
 static bool parse_bytes(const char *text, double min, double max, uint32_t *out)
 {
 	static const struct {
@@ -100,7 +119,7 @@
 	return false;
 }
 
-/* A token's digest. */
+/* Parse a token's digest as doc_token_digest writes it. */
 static bool parse_digest(const char *text, char **out)
 {
 	if (!g_str_has_prefix(text, "sha256:") || strlen(text) != 7 + 64 ||
@@ -111,79 +130,79 @@
 	return true;
 }
 
-/* Check a scalar against its key and store it. */
-static void parse_scalar(struct parser *p, const struct key *k, const char *text, void *into)
+/* Check a scalar against the type and limits of its key and store it. */
+static void parse_scalar(struct parser *p, const struct key *k, const char *text, void *dest)
 {
-	char *at = (char *)into + k->offset;
+	char *target = (char *)dest + k->offset;
 	int64_t ns;
 	char *end;
 	double real;
 
 	switch (k->type) {
 	case KEY_COUNT:
-		if (!parse_count(text, k->min, k->max, (uint32_t *)at))
-			problem(p, k->name, "'%s' is not a whole number from %.0f to %.0f",
+		if (!parse_count(text, k->min, k->max, (uint32_t *)target))
+			add_problem(p, k->name, "'%s' is not a whole number from %.0f to %.0f",
 				text, k->min, k->max);
 		break;
 	case KEY_DURATION:
 		if (!duration_parse(text, &ns) || (double)ns < k->min * (double)NSEC_PER_SEC ||
 			(double)ns > k->max * (double)NSEC_PER_SEC)
-			problem(p, k->name,
+			add_problem(p, k->name,
 				"'%s' is not a duration from %gs to %gs (units: ms, s, m, h, "
 				"d)",
 				text, k->min, k->max);
 		else
-			*(int64_t *)at = ns;
+			*(int64_t *)target = ns;
 		break;
 	case KEY_FRACTION:
 		real = g_ascii_strtod(text, &end);
 		if (end == text || *end != '\0' || real < k->min || real > k->max)
-			problem(p, k->name, "'%s' is not a number from %g to %g", text, k->min,
-				k->max);
+			add_problem(p, k->name, "'%s' is not a number from %g to %g", text,
+				k->min, k->max);
 		else
-			*(double *)at = real;
+			*(double *)target = real;
 		break;
 	case KEY_BYTES:
-		if (!parse_bytes(text, k->min, k->max, (uint32_t *)at))
-			problem(p, k->name,
+		if (!parse_bytes(text, k->min, k->max, (uint32_t *)target))
+			add_problem(p, k->name,
 				"'%s' is not a size from %.0fB to %.0fB (units: B, KiB, MiB)",
 				text, k->min, k->max);
 		break;
 	case KEY_BOOL:
-		*(bool *)at = strcmp(text, "true") == 0;
-		if (!*(bool *)at && strcmp(text, "false") != 0)
-			problem(p, k->name, "'%s' is neither true nor false", text);
+		*(bool *)target = strcmp(text, "true") == 0;
+		if (!*(bool *)target && strcmp(text, "false") != 0)
+			add_problem(p, k->name, "'%s' is neither true nor false", text);
 		break;
 	case KEY_DIGEST:
-		if (!parse_digest(text, (char **)at))
-			problem(p, k->name,
+		if (!parse_digest(text, (char **)target))
+			add_problem(p, k->name,
 				"a token is given as sha256: and 64 hexadecimal digits");
 		break;
 	case KEY_ADJACENCY:
-		if (!adjacency_parse(text, (enum adjacency *)at))
-			problem(p, k->name, "'%s' is not any, rack or worker", text);
+		if (!adjacency_parse(text, (enum adjacency *)target))
+			add_problem(p, k->name, "'%s' is not any, rack or worker", text);
 		break;
 	case KEY_NESTED:
 		break;
 	}
 }
 
-/* The text of a key, or NULL with a problem. */
+/* Return the text of a key and move the position to it; NULL with a problem. */
 static const char *key_text(struct parser *p, struct fy_node_pair *pair)
 {
 	struct fy_node *key = fy_node_pair_key(pair);
 	const char *name = key != NULL ? fy_node_get_scalar0(key) : NULL;
 
 	if (name == NULL) {
-		problem(p, NULL, "a key must be plain text");
+		add_problem(p, NULL, "a key must be plain text");
 		return NULL;
 	}
 	set_position(p, key);
 	return name;
 }
 
-/* Whether an earlier pair of the mapping has the same key. */
-static bool is_repeated(struct fy_node *map, struct fy_node_pair *pair, const char *name)
+/* Return whether an earlier pair of the mapping has the same key. */
+static bool is_duplicate_key(struct fy_node *map, struct fy_node_pair *pair, const char *name)
 {
 	struct fy_node_pair *other;
 	void *it = NULL;
@@ -197,7 +216,7 @@
 	return false;
 }
 
-/* Find a key in a table. */
+/* Find a key in a table; NULL if it is not in it. */
 static const struct key *find_key(const struct key *keys, size_t len, const char *name)
 {
 	for (size_t i = 0; i < len; i++) {
@@ -207,43 +226,43 @@
 	return NULL;
 }
 
-/* Handle one pair of a mapping with a table. */
+/* Parse the value of one pair by its key's entry in the table, NULL for an unknown key. */
 static void parse_pair(struct parser *p, const struct key *k, const char *name,
-	struct fy_node_pair *pair, void *into)
+	struct fy_node_pair *pair, void *dest)
 {
 	struct fy_node *value = fy_node_pair_value(pair);
 	const char *text;
 
 	if (k == NULL) {
-		problem(p, name, "unknown key");
+		add_problem(p, name, "unknown key");
 		return;
 	}
 	if (k->type == KEY_NESTED) {
 		p->name = k->name;
-		k->nested(p, value, into);
+		k->nested(p, value, dest);
 		return;
 	}
 	text = value != NULL ? fy_node_get_scalar0(value) : NULL;
 	if (text == NULL) {
-		problem(p, name, "a single value is needed");
+		add_problem(p, name, "a single value is needed");
 		return;
 	}
 	set_position(p, value);
-	parse_scalar(p, k, text, into);
+	parse_scalar(p, k, text, dest);
 }
 
-/* Parse a mapping by its table. */
+/* Parse a mapping by a table of its keys and report the missing ones. */
 static void parse_keys(
-	struct parser *p, struct fy_node *map, const struct key *keys, size_t len, void *into)
+	struct parser *p, struct fy_node *map, const struct key *keys, size_t len, void *dest)
 {
 	int line = p->line;
 	int column = p->column;
-	uint64_t seen = 0;
+	uint64_t keys_found = 0;
 	struct fy_node_pair *pair;
 	void *it = NULL;
 
 	if (map == NULL || fy_node_get_type(map) != FYNT_MAPPING) {
-		problem(p, p->name, "keys and values are needed here");
+		add_problem(p, p->name, "keys and values are needed here");
 		return;
 	}
 	while ((pair = fy_node_mapping_iterate(map, &it)) != NULL) {
@@ -253,23 +272,23 @@
 		if (name == NULL)
 			continue;
 		k = find_key(keys, len, name);
-		if (is_repeated(map, pair, name)) {
-			problem(p, name, "the key is there twice");
+		if (is_duplicate_key(map, pair, name)) {
+			add_problem(p, name, "the key is there twice");
 			continue;
 		}
 		if (k != NULL)
-			seen |= UINT64_C(1) << (k - keys);
-		parse_pair(p, k, name, pair, into);
+			keys_found |= UINT64_C(1) << (k - keys);
+		parse_pair(p, k, name, pair, dest);
 	}
 	for (size_t i = 0; i < len; i++) {
-		if (keys[i].required && !(seen >> i & 1))
+		if (keys[i].required && !(keys_found >> i & 1))
 			doc_problem_add(p->problems, p->section->name, line, column,
 				keys[i].name, "the key is missing");
 	}
 }
 
-/* Whether a name can stand in keys, paths and log lines. */
-static bool is_name(const char *name)
+/* Return whether a name is safe to use in store keys, URL paths and log lines. */
+static bool is_valid_name(const char *name)
 {
 	size_t len = strlen(name);
 
@@ -279,16 +298,18 @@
 		       len;
 }
 
-typedef void named_fn(struct parser *p, const char *name, struct fy_node *value, void *into);
+/* Parses the value of one named entry. */
+typedef void parse_entry_fn(
+	struct parser *p, const char *name, struct fy_node *value, void *dest);
 
-/* Parse a mapping of names to things. */
-static void parse_named(struct parser *p, struct fy_node *map, named_fn *fn, void *into)
+/* Parse a mapping with names as keys; calls fn for each valid entry. */
+static void parse_named(struct parser *p, struct fy_node *map, parse_entry_fn *fn, void *dest)
 {
 	struct fy_node_pair *pair;
 	void *it = NULL;
 
 	if (map == NULL || fy_node_get_type(map) != FYNT_MAPPING) {
-		problem(p, p->name, "a mapping of names is needed here");
+		add_problem(p, p->name, "a mapping of names is needed here");
 		return;
 	}
 	while ((pair = fy_node_mapping_iterate(map, &it)) != NULL) {
@@ -296,17 +317,18 @@
 
 		if (name == NULL)
 			continue;
-		if (!is_name(name))
-			problem(p, name, "a name has letters, digits, '-', '_' and '.' only");
-		else if (is_repeated(map, pair, name))
-			problem(p, name, "the name is there twice");
+		if (!is_valid_name(name))
+			add_problem(
+				p, name, "a name has letters, digits, '-', '_' and '.' only");
+		else if (is_duplicate_key(map, pair, name))
+			add_problem(p, name, "the name is there twice");
 		else
-			fn(p, name, fy_node_pair_value(pair), into);
+			fn(p, name, fy_node_pair_value(pair), dest);
 	}
 }
 
-/* guarantees: a list of shapes. */
-static void parse_guarantees(struct parser *p, struct fy_node *list, void *into)
+/* Parse "guarantees", an organisation's list of guaranteed shapes. */
+static void parse_guarantees(struct parser *p, struct fy_node *list, void *dest)
 {
 	static const struct key keys[] = {
 		{"accelerators", KEY_COUNT, true, 1, ACCELERATORS_MAX,
@@ -316,12 +338,12 @@
 		{"count", KEY_COUNT, false, 1, WORKERS_MAX,
 			offsetof(struct doc_guarantee, count), NULL},
 	};
-	struct doc_org *o = into;
+	struct doc_org *o = dest;
 	struct fy_node *item;
 	void *it = NULL;
 
 	if (list == NULL || fy_node_get_type(list) != FYNT_SEQUENCE) {
-		problem(p, "guarantees", "a list of shapes is needed here");
+		add_problem(p, "guarantees", "a list of shapes is needed here");
 		return;
 	}
 	while ((item = fy_node_sequence_iterate(list, &it)) != NULL) {
@@ -329,39 +351,39 @@
 
 		g->count = 1;
 		parse_keys(p, item, keys, ARRAY_LEN(keys), g);
-		g->where = here(p);
+		g->where = current_location(p);
 		STAILQ_INSERT_TAIL(&o->guarantees, g, entry);
 	}
 }
 
-/* quota: what an organisation may hold at most. */
-static void parse_quota(struct parser *p, struct fy_node *value, void *into)
+/* Parse "quota": the most accelerators and jobs of an organisation. */
+static void parse_quota(struct parser *p, struct fy_node *value, void *dest)
 {
 	static const struct key keys[] = {
-		{"accelerators", KEY_COUNT, false, 0, 1000000,
+		{"accelerators", KEY_COUNT, false, 0, QUOTA_ACCELERATORS_MAX,
 			offsetof(struct doc_org, quota_accelerators), NULL},
-		{"jobs", KEY_COUNT, false, 1, 1000000, offsetof(struct doc_org, quota_jobs),
-			NULL},
+		{"jobs", KEY_COUNT, false, 1, QUOTA_JOBS_MAX,
+			offsetof(struct doc_org, quota_jobs), NULL},
 	};
 
-	parse_keys(p, value, keys, ARRAY_LEN(keys), into);
+	parse_keys(p, value, keys, ARRAY_LEN(keys), dest);
 }
 
-/* limits: how fast an organisation may submit. */
-static void parse_limits(struct parser *p, struct fy_node *value, void *into)
+/* Parse "limits": the rate limit on an organisation's submissions. */
+static void parse_limits(struct parser *p, struct fy_node *value, void *dest)
 {
 	static const struct key keys[] = {
-		{"rate", KEY_COUNT, true, 1, 1000000, offsetof(struct doc_org, rate_per_second),
-			NULL},
-		{"burst", KEY_COUNT, false, 1, 1000000, offsetof(struct doc_org, rate_burst),
-			NULL},
+		{"rate", KEY_COUNT, true, 1, RATE_MAX,
+			offsetof(struct doc_org, rate_per_second), NULL},
+		{"burst", KEY_COUNT, false, 1, BURST_JOBS_MAX,
+			offsetof(struct doc_org, rate_burst), NULL},
 	};
 
-	parse_keys(p, value, keys, ARRAY_LEN(keys), into);
+	parse_keys(p, value, keys, ARRAY_LEN(keys), dest);
 }
 
-/* One organisation of a team. */
-static void parse_org(struct parser *p, const char *name, struct fy_node *value, void *into)
+/* Parse one organisation of a team; dest is the team's name. */
+static void parse_org(struct parser *p, const char *name, struct fy_node *value, void *dest)
 {
 	static const struct key keys[] = {
 		{"token", KEY_DIGEST, false, 0, 0, offsetof(struct doc_org, token_digest),
@@ -374,13 +396,13 @@
 	struct doc_org *o;
 
 	if (other != NULL) {
-		problem(p, name, "team %s has an organisation of this name", other->team);
+		add_problem(p, name, "team %s has an organisation of this name", other->team);
 		return;
 	}
 	o = xcalloc(1, sizeof(*o));
 	o->name = xstrdup(name);
-	o->team = xstrdup(into);
-	o->where = here(p);
+	o->team = xstrdup(dest);
+	o->where = current_location(p);
 	o->index = p->doc->orgs_len++;
 	STAILQ_INIT(&o->guarantees);
 	STAILQ_INSERT_TAIL(&p->doc->orgs, o, entry);
@@ -388,16 +410,16 @@
 		parse_keys(p, value, keys, ARRAY_LEN(keys), o);
 }
 
-/* organisations: a mapping. */
-static void parse_orgs(struct parser *p, struct fy_node *value, void *into)
+/* Parse "organisations", the mapping of a team's organisations. */
+static void parse_orgs(struct parser *p, struct fy_node *value, void *dest)
 {
-	struct doc_team *t = into;
+	struct doc_team *t = dest;
 
 	parse_named(p, value, parse_org, t->name);
 }
 
-/* One cell's declared topology. */
-static void parse_cell(struct parser *p, const char *name, struct fy_node *value, void *into)
+/* Parse one cell's declared topology. */
+static void parse_cell(struct parser *p, const char *name, struct fy_node *value, void *dest)
 {
 	static const struct key keys[] = {
 		{"workers", KEY_COUNT, true, 1, WORKERS_MAX, offsetof(struct doc_cell, workers),
@@ -409,56 +431,57 @@
 	};
 	struct doc_cell *c = xcalloc(1, sizeof(*c));
 
-	(void)into;
+	(void)dest;
 	c->name = xstrdup(name);
 	STAILQ_INSERT_TAIL(&p->doc->cells, c, entry);
 	parse_keys(p, value, keys, ARRAY_LEN(keys), c);
 }
 
-/* cells: a mapping. */
-static void parse_cells(struct parser *p, struct fy_node *value, void *into)
+/* Parse "cells", the mapping of all cells. */
+static void parse_cells(struct parser *p, struct fy_node *value, void *dest)
 {
-	(void)into;
+	(void)dest;
 	parse_named(p, value, parse_cell, NULL);
 }
 
-/* One class of jobs. */
-static void parse_class(struct parser *p, const char *name, struct fy_node *value, void *into)
+/* Parse one job class. */
+static void parse_class(struct parser *p, const char *name, struct fy_node *value, void *dest)
 {
 	static const struct key keys[] = {
 		{"priority", KEY_COUNT, true, 0, DOC_CLASS_PRIORITY_MAX,
 			offsetof(struct doc_class, priority), NULL},
 		{"urgent", KEY_BOOL, false, 0, 0, offsetof(struct doc_class, urgent), NULL},
-		{"start_within", KEY_DURATION, false, 0.1, 86400,
+		{"start_within", KEY_DURATION, false, START_WITHIN_MIN_S, START_WITHIN_MAX_S,
 			offsetof(struct doc_class, start_within), NULL},
-		{"queue_max", KEY_COUNT, false, 1, 1000000,
+		{"queue_max", KEY_COUNT, false, 1, QUEUE_JOBS_MAX,
 			offsetof(struct doc_class, queue_max), NULL},
 	};
 	struct doc_class *c = xcalloc(1, sizeof(*c));
 
-	(void)into;
+	(void)dest;
 	c->name = xstrdup(name);
 	STAILQ_INSERT_TAIL(&p->doc->classes, c, entry);
 	parse_keys(p, value, keys, ARRAY_LEN(keys), c);
 }
 
-/* classes: a mapping. */
-static void parse_classes(struct parser *p, struct fy_node *value, void *into)
+/* Parse "classes", the mapping of all job classes. */
+static void parse_classes(struct parser *p, struct fy_node *value, void *dest)
 {
-	(void)into;
+	(void)dest;
 	parse_named(p, value, parse_class, NULL);
 }
 
-/* The section of the operators. */
+/* Parse the section "cluster", which the operators own. */
 static void parse_cluster(struct parser *p, struct fy_node *root)
 {
 	static const struct key keys[] = {
-		{"grace", KEY_DURATION, false, 0.1, 60, offsetof(struct doc, grace), NULL},
+		{"grace", KEY_DURATION, false, GRACE_MIN_S, GRACE_MAX_S,
+			offsetof(struct doc, grace), NULL},
 		{"completion_weight", KEY_FRACTION, false, 0, 1,
 			offsetof(struct doc, weight_completion), NULL},
-		{"queue_max", KEY_COUNT, false, 1, 1000000, offsetof(struct doc, queue_max),
-			NULL},
-		{"payload_max", KEY_BYTES, false, 1024, JOB_PAYLOAD_MAX,
+		{"queue_max", KEY_COUNT, false, 1, QUEUE_JOBS_MAX,
+			offsetof(struct doc, queue_max), NULL},
+		{"payload_max", KEY_BYTES, false, PAYLOAD_MAX_MIN_BYTES, JOB_PAYLOAD_MAX,
 			offsetof(struct doc, payload_max), NULL},
 		{"operators", KEY_DIGEST, false, 0, 0, offsetof(struct doc, operators_digest),
 			NULL},
@@ -470,7 +493,7 @@
 	parse_keys(p, root, keys, ARRAY_LEN(keys), p->doc);
 }
 
-/* The section of one team. */
+/* Parse the section of one team. */
 static void parse_team(struct parser *p, struct fy_node *root, const char *name)
 {
 	static const struct key keys[] = {
@@ -486,7 +509,7 @@
 	parse_keys(p, root, keys, ARRAY_LEN(keys), t);
 }
 
-/* Build a YAML document; syntax errors become problems. */
+/* Build a YAML document; NULL with a problem on a syntax error. */
 static struct fy_document *build_yaml(struct parser *p, const char *text)
 {
 	struct fy_diag_cfg dc;
@@ -509,7 +532,7 @@
 		p->column = p->section->indent + e->column + 1;
 	}
 	if (fyd == NULL)
-		problem(p, NULL, "not valid YAML: %s", e != NULL ? e->msg : "syntax error");
+		add_problem(p, NULL, "not valid YAML: %s", e != NULL ? e->msg : "syntax error");
 	fy_diag_destroy(diag);
 	return fyd;
 }
@@ -527,14 +550,14 @@
 		return;
 	if (strcmp(name, "cluster") == 0)
 		parse_cluster(p, fy_document_root(fyd));
-	else if (g_str_has_prefix(name, "teams/") && is_name(name + 6))
+	else if (g_str_has_prefix(name, "teams/") && is_valid_name(name + 6))
 		parse_team(p, fy_document_root(fyd), name + 6);
 	else
-		problem(p, name, "a section is 'cluster' or 'teams/NAME'");
+		add_problem(p, name, "a section is 'cluster' or 'teams/NAME'");
 	fy_document_destroy(fyd);
 }
 
-/* Parse all sections to one document, which the caller frees also where there are problems. */
+/* Parse all sections into one document. The caller frees it, even if there are problems. */
 struct doc *doc_parse_sections(
 	const struct doc_section *sections, size_t len, struct doc_problems *problems)
 {
@@ -547,7 +570,7 @@
 	return p.doc;
 }
 
-/* Free a section; for GPtrArray. */
+/* Free a section; a GDestroyNotify for arrays of sections. */
 void doc_section_free(void *section)
 {
 	struct doc_section *s = section;
@@ -559,22 +582,25 @@
 	free(s);
 }
 
-/* The lines of a block, less its indentation. */
-static char *slice_lines(const char *text, int from, int to, int indent)
+/*
+ * Copy the lines from first up to, not including, end (-1 for the rest of the text), with up to
+ * indent leading spaces removed from each.
+ */
+static char *slice_lines(const char *text, int first, int end, int indent)
 {
 	GString *out = g_string_new(NULL);
 	g_auto(GStrv) lines = g_strsplit(text, "\n", -1);
 	char *copy;
 
-	for (int i = 0; lines[i] != NULL && (to < 0 || i < to); i++) {
+	for (int i = 0; lines[i] != NULL && (end < 0 || i < end); i++) {
 		const char *line = lines[i];
-		int cut = 0;
+		int skip = 0;
 
-		if (i < from)
+		if (i < first)
 			continue;
-		while (cut < indent && line[cut] == ' ')
-			cut++;
-		g_string_append(out, line + cut);
+		while (skip < indent && line[skip] == ' ')
+			skip++;
+		g_string_append(out, line + skip);
 		if (lines[i + 1] != NULL)
 			g_string_append_c(out, '\n');
 	}
@@ -583,7 +609,7 @@
 	return copy;
 }
 
-/* The mark of a key. */
+/* Return where a pair's key starts; NULL if it is not a scalar. */
 static const struct fy_mark *key_mark(struct fy_node_pair *pair)
 {
 	struct fy_node *key = fy_node_pair_key(pair);
@@ -592,7 +618,11 @@
 	return t != NULL ? fy_token_start_mark(t) : NULL;
 }
 
-/* Add the section that a pair's value is; next_line ends it, -1 for the end of the file. */
+/*
+ * Add a pair's value as a section. Block-style text is copied line by line up to next_line (-1
+ * for the end of the file), so that positions in the section map to those in the file. Values
+ * in flow style or on the line of their key are emitted anew.
+ */
 static void add_section(GPtrArray *sections, const char *text, const char *name,
 	struct fy_node_pair *pair, int next_line)
 {
@@ -613,18 +643,18 @@
 		s->first_line = mark->line + 2;
 		s->indent = first->column;
 	} else {
-		char *flow =
+		char *emitted =
 			value != NULL ? fy_emit_node_to_string(value, FYECF_DEFAULT) : NULL;
 
-		s->text = xstrdup(flow != NULL ? flow : "");
-		free(flow);
+		s->text = xstrdup(emitted != NULL ? emitted : "");
+		free(emitted);
 		s->first_line = mark->line + 1;
 	}
 	g_ptr_array_add(sections, s);
 }
 
-/* The line of the pair after this one, or the given end. */
-static int line_after(struct fy_node *map, struct fy_node_pair *pair, int end)
+/* Return the line of the next pair in the mapping, or end for the last pair. */
+static int next_pair_line(struct fy_node *map, struct fy_node_pair *pair, int end)
 {
 	struct fy_node_pair *p;
 	void *it = NULL;
@@ -640,7 +670,7 @@
 	return end;
 }
 
-/* Split the value of "teams". */
+/* Add a section for each entry of "teams". */
 static void split_teams(
 	struct parser *p, GPtrArray *sections, const char *text, struct fy_node *teams, int end)
 {
@@ -648,29 +678,30 @@
 	void *it = NULL;
 
 	if (teams == NULL || fy_node_get_type(teams) != FYNT_MAPPING) {
-		problem(p, "teams", "a mapping of names is needed here");
+		add_problem(p, "teams", "a mapping of names is needed here");
 		return;
 	}
 	while ((pair = fy_node_mapping_iterate(teams, &it)) != NULL) {
 		const char *name = key_text(p, pair);
-		AUTOFREE char *full = NULL;
+		AUTOFREE char *section_name = NULL;
 
 		if (name == NULL)
 			continue;
-		if (is_repeated(teams, pair, name)) {
-			problem(p, name, "the name is there twice");
+		if (is_duplicate_key(teams, pair, name)) {
+			add_problem(p, name, "the name is there twice");
 			continue;
 		}
-		xasprintf(&full, "teams/%s", name);
-		add_section(sections, text, full, pair, line_after(teams, pair, end));
+		xasprintf(&section_name, "teams/%s", name);
+		add_section(
+			sections, text, section_name, pair, next_pair_line(teams, pair, end));
 	}
 }
 
-/* Split a whole file into sections; false where it cannot be. */
+/* Split a whole document into sections; false if there are problems. */
 bool doc_split(const char *text, GPtrArray *sections, struct doc_problems *problems)
 {
-	struct doc_section whole = {.name = "document", .first_line = 1};
-	struct parser p = {.section = &whole,
+	struct doc_section whole_text = {.name = "document", .first_line = 1};
+	struct parser p = {.section = &whole_text,
 		.problems = problems,
 		.name = "document",
 		.line = 1,
@@ -682,22 +713,22 @@
 
 	if (root == NULL || fy_node_get_type(root) != FYNT_MAPPING) {
 		if (STAILQ_EMPTY(problems))
-			problem(&p, NULL, "the document needs the keys cluster and teams");
+			add_problem(&p, NULL, "the document needs the keys cluster and teams");
 		fy_document_destroy(fyd);
 		return false;
 	}
 	while ((pair = fy_node_mapping_iterate(root, &it)) != NULL) {
 		const char *name = key_text(&p, pair);
-		int end = line_after(root, pair, -1);
+		int end = next_pair_line(root, pair, -1);
 
-		if (name != NULL && is_repeated(root, pair, name))
-			problem(&p, name, "the key is there twice");
+		if (name != NULL && is_duplicate_key(root, pair, name))
+			add_problem(&p, name, "the key is there twice");
 		else if (name != NULL && strcmp(name, "cluster") == 0)
 			add_section(sections, text, name, pair, end);
 		else if (name != NULL && strcmp(name, "teams") == 0)
 			split_teams(&p, sections, text, fy_node_pair_value(pair), end);
 		else if (name != NULL)
-			problem(&p, name, "unknown key");
+			add_problem(&p, name, "unknown key");
 	}
 	fy_document_destroy(fyd);
 	return STAILQ_EMPTY(problems);
