--- a/tests/property/prop-protocol.cc
+++ b/tests/property/prop-protocol.cc
@@ -3,7 +3,8 @@
 #include <string>
 #include <vector>
 
-/* A random message of some kinds with nested parts. */
+/* Generate an inventory, which has all kinds of fields: numbers, text, bytes, structs, a list.
+ */
 static msg random_inventory()
 {
 	msg m = {};
@@ -27,113 +28,133 @@
 	return m;
 }
 
-/* What is encoded is decoded to the same, and encodes to the same bytes again. */
+/* A decoded message encodes to the same bytes as the original. */
 static void codec_round_trip()
 {
 	msg m = random_inventory();
 	bytes a = msg_encode(&m);
-	msg back;
-	bool ok = msg_decode(&back, a.data, a.len, nullptr);
+	msg decoded;
+	bool ok = msg_decode(&decoded, a.data, a.len, nullptr);
 
 	RC_ASSERT(ok);
-	bytes b = msg_encode(&back);
-	bool same = a.len == b.len && memcmp(a.data, b.data, a.len) == 0;
+	bytes b = msg_encode(&decoded);
+	bool same_bytes = a.len == b.len && memcmp(a.data, b.data, a.len) == 0;
 	msg_clear(&m);
-	msg_clear(&back);
+	msg_clear(&decoded);
 	bytes_clear(&a);
 	bytes_clear(&b);
-	RC_ASSERT(same);
+	RC_ASSERT(same_bytes);
 }
 
-/* A message that is cut or changed is refused or decoded, never more than read. */
-static void codec_damage()
+/*
+ * A message with one byte changed and possibly truncated is either decoded or rejected, without
+ * invalid memory access.
+ */
+static void codec_corrupted_input()
 {
 	msg m = random_inventory();
 	bytes a = msg_encode(&m);
 	size_t len = *rc::gen::inRange<size_t>(0, a.len + 1);
-	size_t at = *rc::gen::inRange<size_t>(0, a.len);
-	msg back;
+	size_t changed = *rc::gen::inRange<size_t>(0, a.len);
+	msg decoded;
 
-	((uint8_t *)a.data)[at] = *rc::gen::arbitrary<uint8_t>();
-	if (msg_decode(&back, a.data, len, nullptr))
-		msg_clear(&back);
+	((uint8_t *)a.data)[changed] = *rc::gen::arbitrary<uint8_t>();
+	if (msg_decode(&decoded, a.data, len, nullptr))
+		msg_clear(&decoded);
 	msg_clear(&m);
 	bytes_clear(&a);
 }
 
-/* Frames arrive whole and in order over any cut of the stream; a flipped bit ends it. */
-static void frames_over_any_cut()
+/*
+ * Frames arrive whole and in order however the stream is split into reads. With one bit
+ * flipped, not all of them arrive, and none with changed contents.
+ */
+static void frames_over_split_stream()
 {
 	keyring *keys = keyring_parse("a secret of some length", nullptr);
 	frame_codec *d = frame_codec_new(keys, true), *a = frame_codec_new(keys, false);
-	auto bodies = *rc::gen::container<std::vector<std::string>>(rc::gen::arbitrary<std::string>());
+	auto bodies = *rc::gen::container<std::vector<std::string>>(
+		rc::gen::arbitrary<std::string>());
 	GByteArray *wire = g_byte_array_new();
 	frame_view view;
-	size_t len, got = 0, at = 0, seen = 0;
-	bool flip = *rc::gen::arbitrary<bool>() && !bodies.empty();
+	size_t len, received = 0, consumed = 0, available = 0;
+	bool flip_bit = *rc::gen::arbitrary<bool>() && !bodies.empty();
 
-	const uint8_t *g = frame_greeting(a, &len);
-	RC_ASSERT(frame_decode(d, g, len, &view, nullptr) == FRAME_GREETED);
-	g = frame_greeting(d, &len);
-	g_byte_array_append(wire, g, (guint)len);
+	const uint8_t *greeting = frame_greeting(a, &len);
+	RC_ASSERT(frame_decode(d, greeting, len, &view, nullptr) == FRAME_GREETED);
+	greeting = frame_greeting(d, &len);
+	g_byte_array_append(wire, greeting, (guint)len);
 	for (auto &b : bodies)
 		frame_encode(d, wire, b.data(), b.size());
-	if (flip)
+	if (flip_bit)
 		wire->data[*rc::gen::inRange<size_t>(FRAME_GREET_LEN + 4, wire->len)] ^= 1;
-	bool bad = false;
-	while (!bad && at < wire->len) {
-		seen = std::max(seen, at) + *rc::gen::inRange<size_t>(1, 64);
-		seen = std::min<size_t>(seen, wire->len);
+	bool rejected = false;
+	while (!rejected && consumed < wire->len) {
+		available = std::max(available, consumed) + *rc::gen::inRange<size_t>(1, 64);
+		available = std::min<size_t>(available, wire->len);
 		for (;;) {
-			frame_result r = frame_decode(a, wire->data + at, seen - at, &view, nullptr);
+			frame_result r = frame_decode(
+				a, wire->data + consumed, available - consumed, &view, nullptr);
 
-			at += view.used;
-			bad = r == FRAME_BAD;
+			consumed += view.used;
+			rejected = r == FRAME_BAD;
 			if (r == FRAME_BODY) {
-				RC_ASSERT(std::string((const char *)view.body, view.len) == bodies[got]);
-				got++;
+				RC_ASSERT(std::string((const char *)view.body, view.len) ==
+					  bodies[received]);
+				received++;
 			}
-			if (r == FRAME_MORE || bad)
+			if (r == FRAME_MORE || rejected)
 				break;
 		}
-		if (seen == wire->len && !bad)
+		if (available == wire->len && !rejected)
 			break;
 	}
-	RC_ASSERT((flip ? got < bodies.size() : got == bodies.size()));
+	RC_ASSERT((flip_bit ? received < bodies.size() : received == bodies.size()));
 	frame_codec_free(a);
 	frame_codec_free(d);
 	keyring_free(keys);
 	g_byte_array_unref(wire);
 }
 
-/* A peer with another key gets nowhere; one with either of two keys during a change does. */
-static void keys_must_match()
+/*
+ * A greeting is accepted from a peer with either of the two keys configured during a key
+ * rotation, and rejected from a peer with another key.
+ */
+static void greeting_requires_shared_key()
 {
-	keyring *ours = keyring_parse("the old secret of all,the new secret of all", nullptr);
-	keyring *theirs = keyring_parse(*rc::gen::element("the new secret of all",
-						"the old secret of all", "some other secret"),
-		nullptr);
-	keyring *other = keyring_parse("some other secret", nullptr);
-	frame_codec *d = frame_codec_new(theirs, true), *a = frame_codec_new(ours, false);
-	frame_codec *o = frame_codec_new(other, true);
+	keyring *accepted_keys =
+		keyring_parse("the old secret of all,the new secret of all", nullptr);
+	keyring *peer_keys =
+		keyring_parse(*rc::gen::element("the new secret of all",
+				      "the old secret of all", "some other secret"),
+			nullptr);
+	keyring *unknown_keys = keyring_parse("some other secret", nullptr);
+	frame_codec *d = frame_codec_new(peer_keys, true),
+		    *a = frame_codec_new(accepted_keys, false);
+	frame_codec *o = frame_codec_new(unknown_keys, true);
 	frame_view view;
 	size_t len;
-	const uint8_t *g = frame_greeting(d, &len);
-	bool same = memcmp(g, frame_greeting(o, &len), 4 + FRAME_KEY_ID) == 0;
+	const uint8_t *greeting = frame_greeting(d, &len);
+	bool same_key = memcmp(greeting, frame_greeting(o, &len), 4 + FRAME_KEY_ID) == 0;
 
-	RC_ASSERT((frame_decode(a, g, len, &view, nullptr) == FRAME_GREETED) == !same);
+	RC_ASSERT(
+		(frame_decode(a, greeting, len, &view, nullptr) == FRAME_GREETED) == !same_key);
 	frame_codec_free(a);
 	frame_codec_free(d);
 	frame_codec_free(o);
-	keyring_free(ours);
-	keyring_free(theirs);
-	keyring_free(other);
+	keyring_free(accepted_keys);
+	keyring_free(peer_keys);
+	keyring_free(unknown_keys);
 }
 
 void prop_protocol()
 {
-	prop("protocol: a message survives encoding", codec_round_trip);
-	prop("protocol: a damaged message is harmless", codec_damage);
-	prop("transport: frames survive any cut, no flipped bit passes", frames_over_any_cut);
-	prop("transport: only a shared key opens a connection", keys_must_match);
+	prop("protocol: a decoded message encodes to the same bytes", codec_round_trip);
+	prop("protocol: a corrupted message is rejected or decoded safely",
+		codec_corrupted_input);
+	prop("transport: frames arrive intact however the stream is split; a flipped bit is "
+	     "detected",
+		frames_over_split_stream);
+	prop("transport: a greeting is accepted only from a peer with a shared key",
+		greeting_requires_shared_key);
 }
