--- a/tests/property/prop-protocol.cc
+++ b/tests/property/prop-protocol.cc
@@ -152,8 +152,7 @@
 	prop("protocol: a decoded message encodes to the same bytes", codec_round_trip);
 	prop("protocol: a corrupted message is rejected or decoded safely",
 		codec_corrupted_input);
-	prop("transport: frames arrive intact however the stream is split; a flipped bit is "
-	     "detected",
+	prop("transport: frames arrive intact over any split; a flipped bit is detected",
 		frames_over_split_stream);
 	prop("transport: a greeting is accepted only from a peer with a shared key",
 		greeting_requires_shared_key);
