--- a/packages/protocol/protocol.h
+++ b/packages/protocol/protocol.h
@@ -238,8 +238,8 @@
 };
 
 /*
- * Entry to coordinator. again is set when the job was sent before, so that a coordinator, also
- * of an earlier term, may have it already; last_term is the term it was last sent to.
+ * Entry to coordinator. A job that was sent before is marked as such, since a coordinator of
+ * this or an earlier term may have it already; last_term is the term it was last sent to.
  */
 struct msg_submit {
 	struct job_spec spec;
