--- a/packages/base/base.h
+++ b/packages/base/base.h
@@ -26,7 +26,7 @@
 #define CLEANUP(fn) __attribute__((cleanup(fn)))
 #define AUTOFREE    CLEANUP(xfreep)
 
-/* bytes.c: owned byte strings. */
+/* bytes.c: byte strings that own their memory. */
 struct bytes {
 	void *data;
 	size_t len;
@@ -36,7 +36,7 @@
 
 /* error.c */
 
-/* The closed list of error kinds; error_answers[] says what each one means to a caller. */
+/* All error kinds. error_infos[] maps each to its HTTP status, retry advice and exit code. */
 enum error_kind {
 	ERR_INVALID,
 	ERR_TOO_LARGE,
@@ -62,7 +62,7 @@
 	ERR_COUNT
 };
 
-/* Whether repeating the request can help. */
+/* When a failed request may be retried. */
 enum error_retry {
 	RETRY_NEVER,
 	RETRY_AFTER_CHANGE,
@@ -70,7 +70,7 @@
 };
 
 /*
- * What a caller is told for a kind. not_run is true only where the kind by itself proves that
+ * How an error kind is reported to a caller. not_run is true only if the kind alone proves that
  * no part of the job was run.
  */
 struct error_answer {
@@ -86,13 +86,13 @@
 #define DP_ERROR error_quark()
 GQuark error_quark(void);
 const struct error_answer *error_answer(enum error_kind kind);
-const struct error_answer *error_answer_of(const GError *err);
+const struct error_answer *error_info_of(const GError *err);
 enum error_kind error_kind_of(const GError *err);
 bool error_kind_parse(const char *name, enum error_kind *kind);
 void error_set(GError **err, enum error_kind kind, const char *fmt, ...)
 	__attribute__((format(printf, 3, 4)));
 
-/* clock.c: all times are nanoseconds; monotonic unless the name says wall. */
+/* clock.c: times are in nanoseconds, and monotonic unless the name contains "wall". */
 struct clock {
 	int64_t (*monotonic)(void *arg);
 	int64_t (*wall)(void *arg);
@@ -105,7 +105,7 @@
 bool duration_parse(const char *text, int64_t *ns);
 char *duration_format(int64_t ns);
 
-/* log.c */
+/* log.c: human-readable log messages on standard error. */
 enum log_level {
 	LOG_LEVEL_ERROR,
 	LOG_LEVEL_WARNING,
@@ -114,14 +114,14 @@
 };
 void log_set_level(enum log_level level);
 bool log_level_parse(const char *name, enum log_level *level);
-void log_write(enum log_level level, const char *part, const char *fmt, ...)
+void log_write(enum log_level level, const char *component, const char *fmt, ...)
 	__attribute__((format(printf, 3, 4)));
-#define log_error(part, ...)   log_write(LOG_LEVEL_ERROR, part, __VA_ARGS__)
-#define log_warning(part, ...) log_write(LOG_LEVEL_WARNING, part, __VA_ARGS__)
-#define log_info(part, ...)    log_write(LOG_LEVEL_INFO, part, __VA_ARGS__)
-#define log_debug(part, ...)   log_write(LOG_LEVEL_DEBUG, part, __VA_ARGS__)
+#define log_error(component, ...)   log_write(LOG_LEVEL_ERROR, component, __VA_ARGS__)
+#define log_warning(component, ...) log_write(LOG_LEVEL_WARNING, component, __VA_ARGS__)
+#define log_info(component, ...)    log_write(LOG_LEVEL_INFO, component, __VA_ARGS__)
+#define log_debug(component, ...)   log_write(LOG_LEVEL_DEBUG, component, __VA_ARGS__)
 
-/* counter.c: named process-wide counters, printed in the usual text format. */
+/* counter.c: process-wide counters and gauges, in the Prometheus text format. */
 struct counter {
 	const char *name;
 	const char *help;
@@ -149,7 +149,7 @@
 	}                                                                                      \
 	struct counter
 
-/* histogram.c: latency histograms, printed with the counters. */
+/* histogram.c: latency histograms, in the Prometheus text format. */
 #define HISTOGRAM_BOUNDS 16
 struct histogram {
 	const char *name;
@@ -169,7 +169,7 @@
 	}                                                                                      \
 	struct histogram
 
-/* event.c: structured log lines on standard output. */
+/* event.c: structured log events on standard output, in logfmt. */
 enum event_id {
 #define EVENT(id, name, fields, help) id,
 #include "event-table.h"
@@ -187,7 +187,7 @@
 void event_flush(void);
 void event_help(FILE *out);
 
-/* option.c: one table of settings drives flags, environment, checks and help. */
+/* option.c: a table of settings that defines flags, environment variables, checks and help. */
 enum option_type {
 	OPTION_STRING,
 	OPTION_NUMBER,
@@ -197,7 +197,7 @@
 struct option_entry {
 	const char *name;
 	enum option_type type;
-	const char *fallback;
+	const char *default_value;
 	int64_t min;
 	int64_t max;
 	const char *roles;
@@ -220,7 +220,7 @@
 void random_bytes(void *out, size_t len);
 char *random_hex(size_t bytes);
 
-/* loop.c: an event loop of one thread: file descriptors, timers and posted calls. */
+/* loop.c: a single-threaded event loop for file descriptors, timers and posted calls. */
 struct loop;
 typedef void loop_fn(void *arg);
 typedef void loop_fd_fn(uint32_t events, void *arg);
@@ -240,15 +240,16 @@
 const struct clock *loop_clock(struct loop *l);
 
 /*
- * rcu.c: values that any thread reads without a lock. A reader brackets its use with enter and
- * leave; publish replaces the value and frees the old one once no reader can have it.
+ * rcu.c: shared values that any thread may read without a lock. A reader calls rcu_enter before
+ * and rcu_leave after using a value. rcu_publish replaces a value and frees the old one when no
+ * reader can still hold it.
  */
 void rcu_enter(void);
 void rcu_leave(void);
 void *rcu_read(void *const *slot);
 void rcu_publish(void **slot, void *value, void (*free_fn)(void *));
 
-/* work.c: a small pool of threads for blocking calls; done runs on the loop. */
+/* work.c: a thread pool for blocking calls whose completion callbacks run on the event loop. */
 struct work_pool;
 struct work_pool *work_pool_new(struct loop *l, unsigned int threads);
 void work_pool_free(struct work_pool *p);
--- a/packages/base/error.c
+++ b/packages/base/error.c
@@ -4,10 +4,10 @@
 #include <string.h>
 
 /*
- * The table from kind to answer. A row that says not_run is sent only by code that has made
- * sure that no member was started; the kinds for an uncertain end never say it.
+ * How each error kind is reported to a caller. Kinds that set not_run may only be raised by
+ * code that knows that no member was started. Kinds for an uncertain outcome never set it.
  */
-static const struct error_answer error_answers[ERR_COUNT] = {
+static const struct error_answer error_infos[ERR_COUNT] = {
 	[ERR_INVALID] = {"invalid", "The request is malformed", 400, true, RETRY_AFTER_CHANGE,
 		0, 2},
 	[ERR_TOO_LARGE] = {"too_large", "The request is too large", 413, true,
@@ -50,19 +50,19 @@
 	[ERR_INTERNAL] = {"internal", "An internal error", 500, false, RETRY_LATER, 5, 12},
 };
 
-/* The GError domain of the project. */
+/* Return the GError domain of the project. */
 GQuark error_quark(void)
 {
 	return g_quark_from_static_string("damaskpath");
 }
 
-/* The answer for a kind. */
+/* Return how a kind is reported; a value out of range is reported as internal. */
 const struct error_answer *error_answer(enum error_kind kind)
 {
-	return &error_answers[kind < ERR_COUNT ? kind : ERR_INTERNAL];
+	return &error_infos[kind < ERR_COUNT ? kind : ERR_INTERNAL];
 }
 
-/* The kind of an error; errors of other domains count as internal. */
+/* Return the kind of an error; errors of other domains are internal. */
 enum error_kind error_kind_of(const GError *err)
 {
 	if (err == NULL || err->domain != DP_ERROR || err->code >= ERR_COUNT)
@@ -70,17 +70,17 @@
 	return (enum error_kind)err->code;
 }
 
-/* The answer for an error. */
-const struct error_answer *error_answer_of(const GError *err)
+/* Return how an error is reported. */
+const struct error_answer *error_info_of(const GError *err)
 {
 	return error_answer(error_kind_of(err));
 }
 
-/* Find a kind by its name. */
+/* Look up a kind by its name; return false if there is none. */
 bool error_kind_parse(const char *name, enum error_kind *kind)
 {
 	for (int i = 0; name != NULL && i < ERR_COUNT; i++) {
-		if (strcmp(error_answers[i].name, name) == 0) {
+		if (strcmp(error_infos[i].name, name) == 0) {
 			*kind = (enum error_kind)i;
 			return true;
 		}
@@ -88,7 +88,7 @@
 	return false;
 }
 
-/* Set an error with a formatted message; err may be NULL. */
+/* Set an error with a formatted message, unless err is NULL or already set. */
 void error_set(GError **err, enum error_kind kind, const char *fmt, ...)
 {
 	va_list ap;
--- a/packages/base/option.c
+++ b/packages/base/option.c
@@ -11,8 +11,8 @@
 	struct option_value *values;
 };
 
-/* Whether a setting belongs to a role; a NULL list means every role. */
-static bool has_role(const struct option_entry *e, const char *role)
+/* Return whether a setting applies to a role; a NULL list of roles means all of them. */
+static bool applies_to_role(const struct option_entry *e, const char *role)
 {
 	g_auto(GStrv) names = NULL;
 
@@ -22,7 +22,7 @@
 	return g_strv_contains((const gchar *const *)names, role);
 }
 
-/* The environment variable of a setting. */
+/* Return the name of a setting's environment variable; the caller frees it. */
 static char *env_name(const struct option_entry *e)
 {
 	char *name;
@@ -33,8 +33,8 @@
 	return name;
 }
 
-/* Say what is wrong with a value, in one line. */
-static void bad_value(const struct option_entry *e, const char *text, GError **err)
+/* Set the error for an invalid value, stating what is accepted. */
+static void set_value_error(const struct option_entry *e, const char *text, GError **err)
 {
 	switch (e->type) {
 	case OPTION_NUMBER:
@@ -58,7 +58,7 @@
 	}
 }
 
-/* Check a text against its entry and store it. */
+/* Validate the text of a value against its table entry and store it. */
 static bool set_value(
 	const struct option_entry *e, struct option_value *v, const char *text, GError **err)
 {
@@ -83,7 +83,7 @@
 		break;
 	}
 	if (!ok) {
-		bad_value(e, text, err);
+		set_value_error(e, text, err);
 		return false;
 	}
 	free(v->text);
@@ -91,8 +91,8 @@
 	return true;
 }
 
-/* Fill one value from flag, environment or default, in that order. */
-static bool fill_value(const struct option_entry *e, struct option_value *v,
+/* Set a value from the flag, the environment or the default, in this order of precedence. */
+static bool resolve_value(const struct option_entry *e, struct option_value *v,
 	const struct arg_str *flag, GError **err)
 {
 	AUTOFREE char *env = env_name(e);
@@ -101,11 +101,11 @@
 	if (flag != NULL && flag->count > 0)
 		text = flag->sval[flag->count - 1];
 	if (text == NULL)
-		text = e->fallback;
+		text = e->default_value;
 	return set_value(e, v, text, err);
 }
 
-/* Set the error for what argtable did not take: one line that names it. */
+/* Set the error to the first line that argtable reports. */
 static void parse_error(struct arg_end *end, const char *role, GError **err)
 {
 	char *line = NULL;
@@ -121,35 +121,36 @@
 	free(line);
 }
 
-/* Parse a role's settings; argv[0] is skipped. NULL and an error for a bad one. */
+/* Parse the settings of a role, skipping argv[0]. Return NULL and set err if one is invalid. */
 struct options *options_parse(const struct option_entry *table, size_t count, const char *role,
 	int argc, char **argv, GError **err)
 {
 	struct options *o = xcalloc(1, sizeof(*o));
 	void **args = xcalloc(count + 1, sizeof(*args));
 	struct arg_end *end = arg_end(8);
-	size_t used = 0;
-	size_t at = 0;
+	size_t args_len = 0;
+	size_t next_arg = 0;
 	bool ok;
 
 	o->table = table;
 	o->count = count;
 	o->values = xcalloc(count, sizeof(*o->values));
 	for (size_t i = 0; i < count; i++) {
-		if (has_role(&table[i], role))
-			args[used++] =
+		if (applies_to_role(&table[i], role))
+			args[args_len++] =
 				arg_strn(NULL, table[i].name, "VALUE", 0, 8, table[i].help);
 	}
-	args[used++] = end;
+	args[args_len++] = end;
 	ok = arg_parse(argc, argv, args) == 0;
 	if (!ok)
 		parse_error(end, role, err);
 	for (size_t i = 0; ok && i < count; i++) {
-		struct arg_str *flag = has_role(&table[i], role) ? args[at++] : NULL;
+		struct arg_str *flag =
+			applies_to_role(&table[i], role) ? args[next_arg++] : NULL;
 
-		ok = fill_value(&table[i], &o->values[i], flag, err);
+		ok = resolve_value(&table[i], &o->values[i], flag, err);
 	}
-	arg_freetable(args, used);
+	arg_freetable(args, args_len);
 	free(args);
 	if (ok)
 		return o;
@@ -157,7 +158,7 @@
 	return NULL;
 }
 
-/* Free parsed settings. */
+/* Free parsed settings; o may be NULL. */
 void options_free(struct options *o)
 {
 	if (o == NULL)
@@ -168,7 +169,8 @@
 	free(o);
 }
 
-/* Find a setting; asking for one that the table lacks is a programming error. */
+/* Look up a setting; aborts if the table does not contain it, as that is a programming error.
+ */
 static const struct option_value *find_value(const struct options *o, const char *name)
 {
 	for (size_t i = 0; i < o->count; i++) {
@@ -178,27 +180,27 @@
 	abort();
 }
 
-/* The text of a setting. */
+/* Return a setting as text. */
 const char *options_string(const struct options *o, const char *name)
 {
 	return find_value(o, name)->text;
 }
 
-/* A number, a duration in nanoseconds, or a flag as 0 or 1. */
+/* Return a number, a duration in nanoseconds, or a flag as 0 or 1. */
 int64_t options_number(const struct options *o, const char *name)
 {
 	return find_value(o, name)->number;
 }
 
-/* Print the settings of a role. */
+/* Print the help text of a role's settings. */
 void options_help(FILE *out, const struct option_entry *table, size_t count, const char *role)
 {
 	for (size_t i = 0; i < count; i++) {
 		AUTOFREE char *env = env_name(&table[i]);
 
-		if (has_role(&table[i], role))
+		if (applies_to_role(&table[i], role))
 			fprintf(out, "  --%s=VALUE\n      %s (default: %s; environment: %s)\n",
 				table[i].name, table[i].help,
-				*table[i].fallback ? table[i].fallback : "none", env);
+				*table[i].default_value ? table[i].default_value : "none", env);
 	}
 }
