--- a/packages/base/event.c
+++ b/packages/base/event.c
@@ -8,16 +8,17 @@
 #include <unistd.h>
 
 /*
- * Structured log lines on standard output, one logfmt line an event: operators read them with
- * grep, and damaskpath trace merges them. Lines wait in memory and are written in pieces that a
- * pipe takes whole, only when it has room, so a reader that stops never blocks the process.
+ * Structured log events on standard output, one logfmt line per event. Operators search them
+ * with grep, and damaskpath trace merges them. Lines are buffered in memory and written only
+ * when the output is writable, in chunks that a pipe accepts without blocking, so that a
+ * stalled reader never blocks the process.
  */
 
-#define BUFFER_MAX    (256u * 1024) /* bytes that wait for a slow reader */
-#define PIECE_MAX     4096u	    /* what a pipe takes without blocking once it has room */
-#define KIND_PER_S    40u	    /* lines a second of one event; 200 a process in all */
-#define PROCESS_PER_S 200u
-#define LINE_MAX_LEN  1024
+#define PENDING_MAX	    (256u * 1024) /* bytes buffered for a slow reader */
+#define WRITE_MAX	    4096u /* bytes per write; a writable pipe accepts them without blocking */
+#define EVENT_LINES_PER_S   40u	 /* lines per second and event */
+#define PROCESS_LINES_PER_S 200u /* lines per second for all events of a process */
+#define LINE_MAX_LEN	    1024 /* bytes; longer fields are truncated */
 
 COUNTER(lines_dropped, "damaskpath_log_dropped_total",
 	"Log lines dropped for a slow reader or over the rate.");
@@ -29,14 +30,14 @@
 };
 
 static pthread_mutex_t lock = PTHREAD_MUTEX_INITIALIZER;
-static GString *buffer;
+static GString *pending;
 static char *process_name;
-static int64_t second;
-static unsigned int in_second;
-static unsigned int of_kind[EVENT_COUNT];
-static uint64_t dropped_in_second;
+static int64_t rate_second;
+static unsigned int lines_in_second;
+static unsigned int event_lines_in_second[EVENT_COUNT];
+static uint64_t dropped_since_report;
 
-/* Name the process in each line that follows. */
+/* Set the process name that is written in each line. */
 void event_set_process(const char *name)
 {
 	pthread_mutex_lock(&lock);
@@ -45,45 +46,48 @@
 	pthread_mutex_unlock(&lock);
 }
 
-/* Append a line. Under the lock. */
-static void append_line(int64_t wall, const char *name, const char *text)
+/* Append a line, or drop it if the buffer is full. Call with the lock held. */
+static void append_line(int64_t wall_ns, const char *name, const char *text)
 {
-	int64_t ms = wall / NSEC_PER_MSEC;
+	int64_t ms = wall_ns / NSEC_PER_MSEC;
 
-	if (buffer == NULL)
-		buffer = g_string_sized_new(PIECE_MAX);
-	if (buffer->len > BUFFER_MAX) {
+	if (pending == NULL)
+		pending = g_string_sized_new(WRITE_MAX);
+	if (pending->len > PENDING_MAX) {
 		counter_add(&lines_dropped, 1);
-		dropped_in_second++;
+		dropped_since_report++;
 		return;
 	}
-	g_string_append_printf(buffer, "t=%" G_GINT64_FORMAT ".%03d p=%s ev=%s %s\n",
+	g_string_append_printf(pending, "t=%" G_GINT64_FORMAT ".%03d p=%s ev=%s %s\n",
 		(gint64)(ms / 1000), (int)(ms % 1000), process_name ? process_name : "-", name,
 		text);
 }
 
-/* Begin a new second of the rates where one has begun. Under the lock. */
-static void roll_second(int64_t wall)
+/*
+ * Reset the rate limits when a new second has begun, and report the lines dropped before it.
+ * Call with the lock held.
+ */
+static void update_rate_second(int64_t wall_ns)
 {
 	AUTOFREE char *text = NULL;
 
-	if (wall / NSEC_PER_SEC == second)
+	if (wall_ns / NSEC_PER_SEC == rate_second)
 		return;
-	second = wall / NSEC_PER_SEC;
-	in_second = 0;
-	memset(of_kind, 0, sizeof(of_kind));
-	if (dropped_in_second == 0)
+	rate_second = wall_ns / NSEC_PER_SEC;
+	lines_in_second = 0;
+	memset(event_lines_in_second, 0, sizeof(event_lines_in_second));
+	if (dropped_since_report == 0)
 		return;
-	xasprintf(&text, "lines=%llu", (unsigned long long)dropped_in_second);
-	dropped_in_second = 0;
-	append_line(wall, event_infos[EV_LOG_DROPPED].name, text);
+	xasprintf(&text, "lines=%llu", (unsigned long long)dropped_since_report);
+	dropped_since_report = 0;
+	append_line(wall_ns, event_infos[EV_LOG_DROPPED].name, text);
 }
 
-/* Log one event; fmt gives its fields as logfmt. From any thread. */
+/* Log an event, with its fields formatted as logfmt by fmt. May be called from any thread. */
 void event_log(enum event_id id, const char *fmt, ...)
 {
 	char text[LINE_MAX_LEN];
-	int64_t wall = clock_wall(&clock_system);
+	int64_t wall_ns = clock_wall(&clock_system);
 	va_list ap;
 
 	va_start(ap, fmt);
@@ -94,19 +98,20 @@
 			*p = ' ';
 	}
 	pthread_mutex_lock(&lock);
-	roll_second(wall);
-	if (in_second >= PROCESS_PER_S || of_kind[id] >= KIND_PER_S) {
+	update_rate_second(wall_ns);
+	if (lines_in_second >= PROCESS_LINES_PER_S ||
+		event_lines_in_second[id] >= EVENT_LINES_PER_S) {
 		counter_add(&lines_dropped, 1);
-		dropped_in_second++;
+		dropped_since_report++;
 	} else {
-		in_second++;
-		of_kind[id]++;
-		append_line(wall, event_infos[id].name, text);
+		lines_in_second++;
+		event_lines_in_second[id]++;
+		append_line(wall_ns, event_infos[id].name, text);
 	}
 	pthread_mutex_unlock(&lock);
 }
 
-/* Whether a write of one piece cannot block. */
+/* Return whether a write of up to WRITE_MAX bytes will not block. */
 static bool can_write(int fd)
 {
 	struct pollfd p = {.fd = fd, .events = POLLOUT};
@@ -114,20 +119,23 @@
 	return poll(&p, 1, 0) == 1 && (p.revents & POLLOUT) != 0;
 }
 
-/* Write what waits, as far as the reader takes it. Called from the loop now and then. */
+/*
+ * Write buffered lines while the output accepts them; discard them on a write error. Called
+ * periodically from the event loop.
+ */
 void event_flush(void)
 {
 	pthread_mutex_lock(&lock);
-	while (buffer != NULL && buffer->len > 0 && can_write(STDOUT_FILENO)) {
-		ssize_t n = write(STDOUT_FILENO, buffer->str, MIN(buffer->len, PIECE_MAX));
+	while (pending != NULL && pending->len > 0 && can_write(STDOUT_FILENO)) {
+		ssize_t n = write(STDOUT_FILENO, pending->str, MIN(pending->len, WRITE_MAX));
 
 		if (n < 0 && errno == EINTR)
 			continue;
 		if (n <= 0) {
-			g_string_truncate(buffer, 0);
+			g_string_truncate(pending, 0);
 			break;
 		}
-		g_string_erase(buffer, 0, n);
+		g_string_erase(pending, 0, n);
 	}
 	pthread_mutex_unlock(&lock);
 }
