--- a/packages/base/bytes.c
+++ b/packages/base/bytes.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Copy bytes; a zero byte follows them, so that text can be used as a string. */
+/* Copy bytes and append a NUL that len does not count, so that text is usable as a C string. */
 struct bytes bytes_copy(const void *data, size_t len)
 {
 	struct bytes b = {.data = xmalloc(len + 1), .len = len};
@@ -14,7 +14,7 @@
 	return b;
 }
 
-/* Free the bytes and leave an empty value. */
+/* Free the data and reset the value to empty. */
 void bytes_clear(struct bytes *b)
 {
 	free(b->data);
