--- a/packages/base/clock.c
+++ b/packages/base/clock.c
@@ -5,8 +5,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Read one of the system's clocks. */
-static int64_t system_read(clockid_t id)
+/* Read a system clock in nanoseconds. */
+static int64_t read_clock(clockid_t id)
 {
 	struct timespec ts;
 
@@ -17,31 +17,31 @@
 static int64_t system_monotonic(void *arg)
 {
 	(void)arg;
-	/* Also counts the time that a suspended VM stands still. */
-	return system_read(CLOCK_BOOTTIME);
+	/* CLOCK_BOOTTIME also advances while a VM is suspended; CLOCK_MONOTONIC does not. */
+	return read_clock(CLOCK_BOOTTIME);
 }
 
 static int64_t system_wall(void *arg)
 {
 	(void)arg;
-	return system_read(CLOCK_REALTIME);
+	return read_clock(CLOCK_REALTIME);
 }
 
 const struct clock clock_system = {.monotonic = system_monotonic, .wall = system_wall};
 
-/* Monotonic nanoseconds. */
+/* Return the monotonic time in nanoseconds. */
 int64_t clock_now(const struct clock *c)
 {
 	return c->monotonic(c->arg);
 }
 
-/* Nanoseconds since 1970. */
+/* Return the wall-clock time in nanoseconds since the Unix epoch. */
 int64_t clock_wall(const struct clock *c)
 {
 	return c->wall(c->arg);
 }
 
-/* A wall time as text in UTC with milliseconds. */
+/* Format a wall-clock time as ISO 8601 in UTC with milliseconds; the caller frees it. */
 char *clock_format_wall(int64_t wall_ns)
 {
 	time_t secs = (time_t)(wall_ns / NSEC_PER_SEC);
@@ -56,7 +56,7 @@
 	return out;
 }
 
-/* The units that a duration may carry. */
+/* The unit suffixes of a duration. */
 static const struct duration_unit {
 	const char *name;
 	int64_t ns;
@@ -68,7 +68,7 @@
 	{"d", 86400 * NSEC_PER_SEC},
 };
 
-/* Parse "250ms", "9.4s", "2h"; the unit must be there. */
+/* Parse a duration such as "250ms", "9.4s" or "2h"; the unit is required. */
 bool duration_parse(const char *text, int64_t *ns)
 {
 	char *end;
@@ -85,7 +85,7 @@
 	return false;
 }
 
-/* A duration in the largest unit that keeps it readable. */
+/* Format a duration in ms, s, m or h, depending on its length; the caller frees it. */
 char *duration_format(int64_t ns)
 {
 	char *out;
