--- a/packages/base/counter.c
+++ b/packages/base/counter.c
@@ -5,31 +5,31 @@
 
 static SLIST_HEAD(, counter) counters = SLIST_HEAD_INITIALIZER(counters);
 
-/* Add a counter to the list; called before main() only. */
+/* Register a counter. Not thread-safe: called only from constructors, before main(). */
 void counter_register(struct counter *c)
 {
 	SLIST_INSERT_HEAD(&counters, c, entry);
 }
 
-/* Add to a counter from any thread. */
+/* Increase a counter; may be called from any thread. */
 void counter_add(struct counter *c, uint64_t n)
 {
 	__atomic_fetch_add(&c->value, n, __ATOMIC_RELAXED);
 }
 
-/* Set a gauge from any thread. */
+/* Set a gauge; may be called from any thread. */
 void counter_set(struct counter *c, uint64_t value)
 {
 	__atomic_store_n(&c->value, value, __ATOMIC_RELAXED);
 }
 
-/* Read a counter. */
+/* Return the value of a counter; may be called from any thread. */
 uint64_t counter_get(const struct counter *c)
 {
 	return __atomic_load_n(&c->value, __ATOMIC_RELAXED);
 }
 
-/* The name without its labels. */
+/* Return the metric family of a counter, which is its name without labels. */
 static char *family_name(const struct counter *c)
 {
 	const char *brace = strchr(c->name, '{');
@@ -37,7 +37,7 @@
 	return brace ? g_strndup(c->name, (gsize)(brace - c->name)) : g_strdup(c->name);
 }
 
-/* All counters in the text exposition format; the caller frees it. */
+/* Format all counters in the Prometheus text exposition format; the caller frees it. */
 char *counter_render(void)
 {
 	GString *out = g_string_new(NULL);
