--- a/packages/base/histogram.c
+++ b/packages/base/histogram.c
@@ -3,33 +3,35 @@
 #include <inttypes.h>
 
 /*
- * Latency histograms with fixed log-linear bounds, so that quantiles can be read to within a
- * third and histograms of several processes can be added.
+ * Upper bounds of the histogram buckets, in seconds. The bounds are log-linear, so that
+ * quantiles are accurate to within a third, and the same for all histograms, so that those of
+ * several processes can be added up.
  */
-static const double bounds[HISTOGRAM_BOUNDS] = {
+static const double bucket_bounds[HISTOGRAM_BOUNDS] = {
 	0.0005, 0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 5, 10, 20, 60};
 
 static SLIST_HEAD(, histogram) histograms = SLIST_HEAD_INITIALIZER(histograms);
 
-/* Add a histogram to those that are printed; before any thread is started. */
+/* Register a histogram. Not thread-safe: call it before any thread is started. */
 void histogram_register(struct histogram *h)
 {
 	SLIST_INSERT_HEAD(&histograms, h, entry);
 }
 
-/* Count one duration in nanoseconds. */
-void histogram_add(struct histogram *h, int64_t duration)
+/* Record a duration in nanoseconds; may be called from any thread. */
+void histogram_add(struct histogram *h, int64_t duration_ns)
 {
-	double s = (double)duration / (double)NSEC_PER_SEC;
+	double seconds = (double)duration_ns / (double)NSEC_PER_SEC;
 	size_t i = 0;
 
-	while (i < HISTOGRAM_BOUNDS && s > bounds[i])
+	while (i < HISTOGRAM_BOUNDS && seconds > bucket_bounds[i])
 		i++;
 	__atomic_fetch_add(&h->counts[i], 1, __ATOMIC_RELAXED);
-	__atomic_fetch_add(&h->sum, duration > 0 ? (uint64_t)duration : 0, __ATOMIC_RELAXED);
+	__atomic_fetch_add(
+		&h->sum, duration_ns > 0 ? (uint64_t)duration_ns : 0, __ATOMIC_RELAXED);
 }
 
-/* Append all histograms in the usual text format. */
+/* Append all histograms in the Prometheus text exposition format. */
 void histogram_render(GString *out)
 {
 	const struct histogram *h;
@@ -43,7 +45,7 @@
 		for (size_t i = 0; i < HISTOGRAM_BOUNDS; i++) {
 			total += __atomic_load_n(&h->counts[i], __ATOMIC_RELAXED);
 			g_string_append_printf(out, "%s_bucket{le=\"%g\"} %" PRIu64 "\n",
-				h->name, bounds[i], total);
+				h->name, bucket_bounds[i], total);
 		}
 		total += __atomic_load_n(&h->counts[HISTOGRAM_BOUNDS], __ATOMIC_RELAXED);
 		g_string_append_printf(out,
