--- a/packages/base/loop.c
+++ b/packages/base/loop.c
@@ -7,7 +7,7 @@
 #include <sys/eventfd.h>
 #include <unistd.h>
 
-#define LOOP_EVENTS_MAX 64
+#define LOOP_MAX_EVENTS 64 /* events per call of epoll_wait */
 
 struct loop_fd {
 	int fd;
@@ -20,7 +20,7 @@
 	int64_t period;
 	loop_fn *fn;
 	void *arg;
-	bool dead;
+	bool deleted;
 	TAILQ_ENTRY(loop_timer) entry;
 };
 
@@ -31,8 +31,9 @@
 };
 
 /*
- * Other threads only touch the queue of posted calls and the eventfd. Timers are kept in a
- * list sorted by due time: a process has a few dozen of them at most.
+ * Other threads access only the queue of posted calls, under the lock, and the eventfd. Timers
+ * are in a list sorted by due time, which is sufficient for the few dozen that a process has at
+ * most.
  */
 struct loop {
 	const struct clock *clock;
@@ -46,7 +47,7 @@
 	bool wake_pending;
 };
 
-/* Make a loop; it runs on the thread that calls loop_run. */
+/* Create an event loop. */
 struct loop *loop_new(const struct clock *clock)
 {
 	struct loop *l = xcalloc(1, sizeof(*l));
@@ -65,7 +66,7 @@
 	return l;
 }
 
-/* Free a loop that no longer runs. */
+/* Free a loop that is not running, with its timers and the posted calls that did not run. */
 void loop_free(struct loop *l)
 {
 	struct loop_timer *t;
@@ -86,7 +87,7 @@
 	free(l);
 }
 
-/* Run fn on the loop's thread; may be called from any thread. */
+/* Queue a call of fn on the loop's thread; may be called from any thread. */
 void loop_post(struct loop *l, loop_fn *fn, void *arg)
 {
 	struct loop_call *c = xmalloc(sizeof(*c));
@@ -104,7 +105,7 @@
 		abort();
 }
 
-/* Take the posted calls and run them in order. */
+/* Run the posted calls in order. Calls posted meanwhile run in the next iteration. */
 static void run_posted(struct loop *l)
 {
 	STAILQ_HEAD(, loop_call) calls = STAILQ_HEAD_INITIALIZER(calls);
@@ -124,21 +125,24 @@
 	}
 }
 
-/* Put a timer at its place in the list. */
+/* Insert a timer into the list, after those that are due at the same time. */
 static void insert_timer(struct loop *l, struct loop_timer *t)
 {
-	struct loop_timer *at;
+	struct loop_timer *later;
 
-	TAILQ_FOREACH(at, &l->timers, entry) {
-		if (at->due > t->due) {
-			TAILQ_INSERT_BEFORE(at, t, entry);
+	TAILQ_FOREACH(later, &l->timers, entry) {
+		if (later->due > t->due) {
+			TAILQ_INSERT_BEFORE(later, t, entry);
 			return;
 		}
 	}
 	TAILQ_INSERT_TAIL(&l->timers, t, entry);
 }
 
-/* Call fn after delay, then each period if that is not zero. */
+/*
+ * Call fn after delay, and then once per period if that is not zero. Both are in nanoseconds. A
+ * timer without a period is freed after its call.
+ */
 struct loop_timer *loop_timer_add(
 	struct loop *l, int64_t delay, int64_t period, loop_fn *fn, void *arg)
 {
@@ -152,33 +156,33 @@
 	return t;
 }
 
-/* Remove a timer; also from inside its own call. */
+/* Mark a timer as deleted; run_timers frees it. May be called from the timer's own callback. */
 void loop_timer_del(struct loop *l, struct loop_timer *t)
 {
 	(void)l;
 	if (t != NULL)
-		t->dead = true;
+		t->deleted = true;
 }
 
-/* Run the timers that are due; returns milliseconds until the next one, -1 for none. */
+/* Run the timers that are due. Return the milliseconds until the next one, or -1 if none. */
 static int run_timers(struct loop *l)
 {
 	struct loop_timer *t;
 	int64_t now = clock_now(l->clock);
 
 	while ((t = TAILQ_FIRST(&l->timers)) != NULL) {
-		if (!t->dead && t->due > now)
+		if (!t->deleted && t->due > now)
 			return (int)((t->due - now + NSEC_PER_MSEC - 1) / NSEC_PER_MSEC);
 		TAILQ_REMOVE(&l->timers, t, entry);
-		if (t->dead) {
+		if (t->deleted) {
 			free(t);
 			continue;
 		}
 		t->fn(t->arg);
 		if (t->period == 0)
-			t->dead = true;
+			t->deleted = true;
 		t->due = now + t->period;
-		if (t->dead)
+		if (t->deleted)
 			free(t);
 		else
 			insert_timer(l, t);
@@ -186,15 +190,16 @@
 	return -1;
 }
 
-/* Run until loop_stop. */
+/* Dispatch events on the calling thread until loop_stop is called. */
 void loop_run(struct loop *l)
 {
-	struct epoll_event evs[LOOP_EVENTS_MAX];
+	struct epoll_event evs[LOOP_MAX_EVENTS];
 
 	l->running = true;
 	while (l->running) {
-		int wait = run_timers(l);
-		int n = l->running ? epoll_wait(l->epoll_fd, evs, LOOP_EVENTS_MAX, wait) : 0;
+		int timeout_ms = run_timers(l);
+		int n = l->running ? epoll_wait(l->epoll_fd, evs, LOOP_MAX_EVENTS, timeout_ms)
+				   : 0;
 
 		for (int i = 0; i < n; i++) {
 			struct loop_fd *f;
@@ -210,13 +215,13 @@
 	}
 }
 
-/* End loop_run; from the loop's thread. */
+/* Make loop_run return; must be called on the loop's thread. */
 void loop_stop(struct loop *l)
 {
 	l->running = false;
 }
 
-/* Watch a descriptor. */
+/* Watch a descriptor for epoll events. */
 void loop_add_fd(struct loop *l, int fd, uint32_t events, loop_fd_fn *fn, void *arg)
 {
 	struct epoll_event ev = {.events = events, .data.fd = fd};
@@ -246,13 +251,13 @@
 	g_hash_table_remove(l->fds, GINT_TO_POINTER(fd));
 }
 
-/* The loop's monotonic time. */
+/* Return the monotonic time of the loop's clock. */
 int64_t loop_now(struct loop *l)
 {
 	return clock_now(l->clock);
 }
 
-/* The loop's clock. */
+/* Return the loop's clock. */
 const struct clock *loop_clock(struct loop *l)
 {
 	return l->clock;
