--- a/packages/base/random.c
+++ b/packages/base/random.c
@@ -3,14 +3,14 @@
 #include <stdlib.h>
 #include <sys/random.h>
 
-/* Fill a buffer from the system's generator. */
+/* Fill a buffer with random bytes from the kernel; abort if there are none. */
 void random_bytes(void *out, size_t len)
 {
 	if (getrandom(out, len, 0) != (ssize_t)len)
 		abort();
 }
 
-/* A random number from the system's generator. */
+/* Return a random 64-bit number from the kernel. */
 uint64_t random_u64(void)
 {
 	uint64_t v;
@@ -19,7 +19,7 @@
 	return v;
 }
 
-/* Random bytes as hexadecimal text. */
+/* Return random bytes as hexadecimal text; the caller frees it. */
 char *random_hex(size_t bytes)
 {
 	static const char digits[] = "0123456789abcdef";
