--- a/packages/base/rcu.c
+++ b/packages/base/rcu.c
@@ -6,18 +6,18 @@
 #include <stdlib.h>
 
 /*
- * The thread sanitizer does not see the fences of ck_epoch, which are inline assembly. It is
- * told the one order that ck_epoch_synchronize gives: a read section that has ended comes
- * before the free of what it may have read.
+ * ThreadSanitizer does not see the fences of ck_epoch, which are inline assembly. These
+ * annotations declare the ordering that ck_epoch_synchronize provides: the end of a read
+ * section happens before the free of a value that it may have read.
  */
 #ifdef __SANITIZE_THREAD__
 void __tsan_acquire(void *addr);
 void __tsan_release(void *addr);
-#define RCU_READ_ENDS(epoch)	__tsan_release(epoch)
-#define RCU_READERS_GONE(epoch) __tsan_acquire(epoch)
+#define RCU_TSAN_READ_END(epoch)     __tsan_release(epoch)
+#define RCU_TSAN_SYNCHRONIZED(epoch) __tsan_acquire(epoch)
 #else
-#define RCU_READ_ENDS(epoch)
-#define RCU_READERS_GONE(epoch)
+#define RCU_TSAN_READ_END(epoch)
+#define RCU_TSAN_SYNCHRONIZED(epoch)
 #endif
 
 static ck_epoch_t rcu_epoch;
@@ -25,8 +25,8 @@
 static pthread_once_t rcu_once = PTHREAD_ONCE_INIT;
 static __thread ck_epoch_record_t *rcu_record;
 
-/* A thread ends: its record may be used again. */
-static void drop_record(void *arg)
+/* Unregister the record of a thread that exits, so that another thread can reuse it. */
+static void unregister_record(void *arg)
 {
 	ck_epoch_unregister(arg);
 }
@@ -34,11 +34,11 @@
 static void init_epoch(void)
 {
 	ck_epoch_init(&rcu_epoch);
-	pthread_key_create(&rcu_key, drop_record);
+	pthread_key_create(&rcu_key, unregister_record);
 }
 
-/* This thread's record. */
-static ck_epoch_record_t *my_record(void)
+/* Return the epoch record of the calling thread; reuse or allocate one on its first call. */
+static ck_epoch_record_t *thread_record(void)
 {
 	if (rcu_record != NULL)
 		return rcu_record;
@@ -54,33 +54,36 @@
 	return rcu_record;
 }
 
-/* Begin to read. */
+/* Begin a read section. */
 void rcu_enter(void)
 {
-	ck_epoch_begin(my_record(), NULL);
+	ck_epoch_begin(thread_record(), NULL);
 }
 
-/* End reading; what rcu_read returned must not be used any more. */
+/* End a read section. Values returned by rcu_read must not be used after it. */
 void rcu_leave(void)
 {
-	RCU_READ_ENDS(&rcu_epoch);
-	ck_epoch_end(my_record(), NULL);
+	RCU_TSAN_READ_END(&rcu_epoch);
+	ck_epoch_end(thread_record(), NULL);
 }
 
-/* The current value. */
+/* Return the current value of a slot; call it inside a read section. */
 void *rcu_read(void *const *slot)
 {
 	return __atomic_load_n(slot, __ATOMIC_ACQUIRE);
 }
 
-/* Replace the value, wait for its readers and free it; not from inside a read. */
+/*
+ * Replace the value of a slot, wait until no reader can hold the old one, and free it. Must not
+ * be called inside a read section.
+ */
 void rcu_publish(void **slot, void *value, void (*free_fn)(void *))
 {
 	void *old = __atomic_exchange_n(slot, value, __ATOMIC_ACQ_REL);
 
 	if (old == NULL)
 		return;
-	ck_epoch_synchronize(my_record());
-	RCU_READERS_GONE(&rcu_epoch);
+	ck_epoch_synchronize(thread_record());
+	RCU_TSAN_SYNCHRONIZED(&rcu_epoch);
 	free_fn(old);
 }
