--- a/packages/base/work.c
+++ b/packages/base/work.c
@@ -15,12 +15,12 @@
 	pthread_t *threads;
 	unsigned int count;
 	pthread_mutex_t lock;
-	pthread_cond_t some;
+	pthread_cond_t not_empty;
 	STAILQ_HEAD(, work) queue;
 	bool stopping;
 };
 
-/* One thread of the pool. */
+/* Thread function: run queued work until the pool stops and the queue is empty. */
 static void *work_thread(void *arg)
 {
 	struct work_pool *p = arg;
@@ -29,7 +29,7 @@
 	for (;;) {
 		pthread_mutex_lock(&p->lock);
 		while (STAILQ_EMPTY(&p->queue) && !p->stopping)
-			pthread_cond_wait(&p->some, &p->lock);
+			pthread_cond_wait(&p->not_empty, &p->lock);
 		w = STAILQ_FIRST(&p->queue);
 		if (w == NULL) {
 			pthread_mutex_unlock(&p->lock);
@@ -44,7 +44,7 @@
 	}
 }
 
-/* Start a pool whose results go to a loop. */
+/* Start a pool of threads that posts completion callbacks to a loop. */
 struct work_pool *work_pool_new(struct loop *l, unsigned int threads)
 {
 	struct work_pool *p = xcalloc(1, sizeof(*p));
@@ -53,7 +53,7 @@
 	p->count = threads;
 	p->threads = xcalloc(threads, sizeof(*p->threads));
 	pthread_mutex_init(&p->lock, NULL);
-	pthread_cond_init(&p->some, NULL);
+	pthread_cond_init(&p->not_empty, NULL);
 	STAILQ_INIT(&p->queue);
 	for (unsigned int i = 0; i < threads; i++) {
 		if (pthread_create(&p->threads[i], NULL, work_thread, p) != 0)
@@ -62,22 +62,22 @@
 	return p;
 }
 
-/* Finish what is queued, then end the threads. */
+/* Run the work that is still queued, then stop the threads and free the pool. */
 void work_pool_free(struct work_pool *p)
 {
 	pthread_mutex_lock(&p->lock);
 	p->stopping = true;
-	pthread_cond_broadcast(&p->some);
+	pthread_cond_broadcast(&p->not_empty);
 	pthread_mutex_unlock(&p->lock);
 	for (unsigned int i = 0; i < p->count; i++)
 		pthread_join(p->threads[i], NULL);
 	pthread_mutex_destroy(&p->lock);
-	pthread_cond_destroy(&p->some);
+	pthread_cond_destroy(&p->not_empty);
 	free(p->threads);
 	free(p);
 }
 
-/* Run a blocking call on the pool, then done on the loop; done may be NULL. */
+/* Queue run(arg) for a thread of the pool; then done(arg), if not NULL, runs on the loop. */
 void work_submit(struct work_pool *p, loop_fn *run, loop_fn *done, void *arg)
 {
 	struct work *w = xmalloc(sizeof(*w));
@@ -87,6 +87,6 @@
 	w->arg = arg;
 	pthread_mutex_lock(&p->lock);
 	STAILQ_INSERT_TAIL(&p->queue, w, entry);
-	pthread_cond_signal(&p->some);
+	pthread_cond_signal(&p->not_empty);
 	pthread_mutex_unlock(&p->lock);
 }
