--- a/packages/base/xmalloc.c
+++ b/packages/base/xmalloc.c
@@ -4,41 +4,41 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* End the process when memory has run out. */
-static void *check(void *p)
+/* Abort the process if an allocation failed. */
+static void *check_alloc(void *p)
 {
 	if (p == NULL)
 		abort();
 	return p;
 }
 
-/* Allocate; never returns NULL. */
+/* Allocate memory; never returns NULL, also for size 0. */
 void *xmalloc(size_t size)
 {
-	return check(malloc(size ? size : 1));
+	return check_alloc(malloc(size ? size : 1));
 }
 
-/* Allocate zeroed memory; never returns NULL. */
+/* Allocate zeroed memory; never returns NULL, also for size 0. */
 void *xcalloc(size_t count, size_t size)
 {
-	return check(calloc(count ? count : 1, size ? size : 1));
+	return check_alloc(calloc(count ? count : 1, size ? size : 1));
 }
 
-/* Resize an array; never returns NULL. */
+/* Resize an array; never returns NULL, also for size 0. */
 void *xreallocarray(void *ptr, size_t count, size_t size)
 {
-	return check(reallocarray(ptr, count ? count : 1, size ? size : 1));
+	return check_alloc(reallocarray(ptr, count ? count : 1, size ? size : 1));
 }
 
-/* Copy a string; NULL stays NULL. */
+/* Duplicate a string; returns NULL only for NULL. */
 char *xstrdup(const char *s)
 {
 	if (s == NULL)
 		return NULL;
-	return check(strdup(s));
+	return check_alloc(strdup(s));
 }
 
-/* Print to a new string. */
+/* Format into a newly allocated string. */
 void xasprintf(char **out, const char *fmt, ...)
 {
 	va_list ap;
@@ -49,7 +49,7 @@
 	va_end(ap);
 }
 
-/* Free what a pointer variable holds; for the cleanup attribute. */
+/* Free the memory that *p points to and set *p to NULL; for the cleanup attribute. */
 void xfreep(void *p)
 {
 	void **ptr = p;
