--- a/packages/base/base.h
+++ b/packages/base/base.h
@@ -16,7 +16,7 @@
 
 #define ARRAY_LEN(a) (sizeof(a) / sizeof((a)[0]))
 
-/* xmalloc.c */
+/* xmalloc.c: memory allocation that aborts on failure. */
 void *xmalloc(size_t size);
 void *xcalloc(size_t count, size_t size);
 void *xreallocarray(void *ptr, size_t count, size_t size);
@@ -34,9 +34,8 @@
 struct bytes bytes_copy(const void *data, size_t len);
 void bytes_clear(struct bytes *b);
 
-/* error.c */
-
-/* All error kinds. error_infos[] maps each to its HTTP status, retry advice and exit code. */
+/* error.c: error kinds; error_infos[] maps each to its HTTP status, retry advice and exit code.
+ */
 enum error_kind {
 	ERR_INVALID,
 	ERR_TOO_LARGE,
@@ -155,7 +154,7 @@
 	const char *name;
 	const char *help;
 	uint64_t counts[HISTOGRAM_BOUNDS + 1];
-	uint64_t sum;
+	uint64_t sum; /* nanoseconds */
 	SLIST_ENTRY(histogram) entry;
 };
 void histogram_register(struct histogram *h);
@@ -194,6 +193,10 @@
 	OPTION_DURATION,
 	OPTION_FLAG
 };
+/*
+ * min and max limit numbers, and durations in nanoseconds. A string must not be empty unless
+ * its min is 0. roles is a comma-separated list; NULL means all roles.
+ */
 struct option_entry {
 	const char *name;
 	enum option_type type;
@@ -215,7 +218,7 @@
 int64_t options_number(const struct options *o, const char *name);
 void options_help(FILE *out, const struct option_entry *table, size_t count, const char *role);
 
-/* random.c */
+/* random.c: random values from the kernel. */
 uint64_t random_u64(void);
 void random_bytes(void *out, size_t len);
 char *random_hex(size_t bytes);
