--- a/packages/base/option.c
+++ b/packages/base/option.c
@@ -5,6 +5,10 @@
 #include <stdlib.h>
 #include <string.h>
 
+#define FLAG_REPEATS_MAX 8 /* occurrences of a flag on the command line; the last one counts   \
+			    */
+#define PARSE_ERRORS_MAX 8
+
 struct options {
 	const struct option_entry *table;
 	size_t count;
@@ -127,7 +131,7 @@
 {
 	struct options *o = xcalloc(1, sizeof(*o));
 	void **args = xcalloc(count + 1, sizeof(*args));
-	struct arg_end *end = arg_end(8);
+	struct arg_end *end = arg_end(PARSE_ERRORS_MAX);
 	size_t args_len = 0;
 	size_t next_arg = 0;
 	bool ok;
@@ -137,8 +141,8 @@
 	o->values = xcalloc(count, sizeof(*o->values));
 	for (size_t i = 0; i < count; i++) {
 		if (applies_to_role(&table[i], role))
-			args[args_len++] =
-				arg_strn(NULL, table[i].name, "VALUE", 0, 8, table[i].help);
+			args[args_len++] = arg_strn(NULL, table[i].name, "VALUE", 0,
+				FLAG_REPEATS_MAX, table[i].help);
 	}
 	args[args_len++] = end;
 	ok = arg_parse(argc, argv, args) == 0;
