--- a/packages/base/rcu.c
+++ b/packages/base/rcu.c
@@ -5,6 +5,8 @@
 #include <pthread.h>
 #include <stdlib.h>
 
+#define CACHE_LINE 64u /* bytes; the alignment that ck_epoch records require */
+
 /*
  * ThreadSanitizer does not see the fences of ck_epoch, which are inline assembly. These
  * annotations declare the ordering that ck_epoch_synchronize provides: the end of a read
@@ -45,7 +47,8 @@
 	pthread_once(&rcu_once, init_epoch);
 	rcu_record = ck_epoch_recycle(&rcu_epoch, NULL);
 	if (rcu_record == NULL) {
-		rcu_record = aligned_alloc(64, (sizeof(*rcu_record) + 63) / 64 * 64);
+		rcu_record = aligned_alloc(CACHE_LINE,
+			(sizeof(*rcu_record) + CACHE_LINE - 1) / CACHE_LINE * CACHE_LINE);
 		if (rcu_record == NULL)
 			abort();
 		ck_epoch_register(&rcu_epoch, rcu_record, NULL);
