--- a/packages/base/clock.c
+++ b/packages/base/clock.c
@@ -5,6 +5,9 @@
 #include <stdlib.h>
 #include <string.h>
 
+#define NSEC_PER_MIN  (60 * NSEC_PER_SEC)
+#define NSEC_PER_HOUR (60 * NSEC_PER_MIN)
+
 /* Read a system clock in nanoseconds. */
 static int64_t read_clock(clockid_t id)
 {
@@ -56,6 +59,8 @@
 	return out;
 }
 
+#define DURATION_VALUE_MAX 1e9 /* largest number before a unit, for any unit */
+
 /* The unit suffixes of a duration. */
 static const struct duration_unit {
 	const char *name;
@@ -63,9 +68,9 @@
 } duration_units[] = {
 	{"ms", NSEC_PER_MSEC},
 	{"s", NSEC_PER_SEC},
-	{"m", 60 * NSEC_PER_SEC},
-	{"h", 3600 * NSEC_PER_SEC},
-	{"d", 86400 * NSEC_PER_SEC},
+	{"m", NSEC_PER_MIN},
+	{"h", NSEC_PER_HOUR},
+	{"d", 24 * NSEC_PER_HOUR},
 };
 
 /* Parse a duration such as "250ms", "9.4s" or "2h"; the unit is required. */
@@ -74,7 +79,7 @@
 	char *end;
 	double value = g_ascii_strtod(text, &end);
 
-	if (end == text || value < 0 || value > 1e9)
+	if (end == text || value < 0 || value > DURATION_VALUE_MAX)
 		return false;
 	for (size_t i = 0; i < ARRAY_LEN(duration_units); i++) {
 		if (strcmp(end, duration_units[i].name) == 0) {
@@ -92,9 +97,9 @@
 
 	if (ns < NSEC_PER_SEC)
 		xasprintf(&out, "%" PRId64 "ms", ns / NSEC_PER_MSEC);
-	else if (ns < 600 * NSEC_PER_SEC)
+	else if (ns < 10 * NSEC_PER_MIN)
 		xasprintf(&out, "%.1fs", (double)ns / (double)NSEC_PER_SEC);
-	else if (ns < 3 * 3600 * NSEC_PER_SEC)
+	else if (ns < 3 * NSEC_PER_HOUR)
 		xasprintf(&out, "%.1fm", (double)ns / 60.0 / (double)NSEC_PER_SEC);
 	else
 		xasprintf(&out, "%.1fh", (double)ns / 3600.0 / (double)NSEC_PER_SEC);
