--- a/packages/base/event-table.h
+++ b/packages/base/event-table.h
@@ -1,4 +1,4 @@
-/* All log events: EVENT(id, name, fields, help). Included where a list of them is needed. */
+/* X-macro table of all log events. Define EVENT(id, name, fields, help) before including it. */
 EVENT(EV_START, "start", "role zone version", "a process started")
 EVENT(EV_STOP, "stop", "why", "a process begins to stop, or has stopped")
 EVENT(EV_RELOAD, "reload", "path", "the settings file was read again")
