--- a/packages/cli/cli.h
+++ b/packages/cli/cli.h
@@ -3,20 +3,21 @@
 
 #include "state.h"
 
-/* Exit codes beyond those of the error kinds. */
+/* Exit codes in addition to those of the error kinds. */
 #define EXIT_OK	   0
 #define EXIT_USAGE 2
 
-/* What every command gets: where the entries are, who asks and how to print. */
+/* The global options and the optional headers of requests. */
 struct cli {
-	char **entries;
-	const char *token;
-	const char *org;
-	bool json;
-	const char *prefer;
-	const char *key;
+	char **entries;	    /* addresses of the entries, NULL-terminated */
+	const char *token;  /* bearer token, or NULL */
+	const char *org;    /* organisation to act for, or NULL */
+	bool json;	    /* print JSON instead of text */
+	const char *prefer; /* Prefer header, or NULL */
+	const char *key;    /* Idempotency-Key header, or NULL */
 };
 
+/* A command. exec gets the arguments after the command's name and returns the exit code. */
 struct cmd_entry {
 	const char *name;
 	const char *alias;
@@ -25,13 +26,16 @@
 	int (*exec)(struct cli *c, int argc, char **argv);
 };
 
-/* cmd.c */
+/* cmd.c: the table of commands. */
 const struct cmd_entry *cmd_find(int argc, char **argv, int *used);
 extern const struct cmd_entry *const cmd_table;
 extern const size_t cmd_table_len;
 
-/* client.c: requests to an entry; another one is tried where a request cannot have arrived. */
-struct answer {
+/*
+ * client.c: HTTP requests to an entry. The next entry is tried only if the request cannot have
+ * reached the previous one.
+ */
+struct response {
 	int status;
 	char *type;
 	char *job;
@@ -39,22 +43,22 @@
 	struct bytes body;
 	json_t *json;
 };
-bool client_call(struct cli *c, const char *method, const char *path, const char *body,
-	struct answer *out);
-void answer_clear(struct answer *a);
-int client_fail(const struct answer *a);
+bool client_request(struct cli *c, const char *method, const char *path, const char *body,
+	struct response *resp);
+void response_clear(struct response *resp);
+int client_report_error(const struct response *resp);
 
-/* print.c */
+/* print.c: output as tables and JSON. */
 struct column {
 	const char *title;
 	const char *key;
 };
 void print_table(const json_t *rows, const struct column *columns, size_t len);
 void print_json(const json_t *o);
-char *value_text(const json_t *v);
-char *wide_text(const json_t *o, const char *key);
+char *format_value(const json_t *v);
+char *format_member(const json_t *o, const char *key);
 
-/* cmd-job.c, cmd-cluster.c, cmd-config.c */
+/* The commands, in cmd-job.c, cmd-cluster.c, cmd-config.c and cmd.c. */
 int cmd_job_submit(struct cli *c, int argc, char **argv);
 int cmd_job_status(struct cli *c, int argc, char **argv);
 int cmd_job_result(struct cli *c, int argc, char **argv);
--- a/packages/cli/client.c
+++ b/packages/cli/client.c
@@ -6,7 +6,7 @@
 #define CALL_TIMEOUT (3600 * NSEC_PER_SEC)
 
 /* Free an answer. */
-void answer_clear(struct answer *a)
+void response_clear(struct response *a)
 {
 	free(a->type);
 	bytes_clear(&a->body);
@@ -16,7 +16,7 @@
 
 /* Make one call to one entry; false where it cannot have arrived. */
 static bool call_one(struct cli *c, const char *entry, const char *method, const char *path,
-	const char *body, struct answer *out, char **why)
+	const char *body, struct response *out, char **why)
 {
 	AUTOFREE char *url = NULL;
 	AUTOFREE char *bearer = NULL;
@@ -53,8 +53,8 @@
 }
 
 /* Make a call to the first entry that can be reached; false, with a message, for none. */
-bool client_call(struct cli *c, const char *method, const char *path, const char *body,
-	struct answer *out)
+bool client_request(struct cli *c, const char *method, const char *path, const char *body,
+	struct response *out)
 {
 	AUTOFREE char *why = NULL;
 
@@ -70,7 +70,7 @@
 }
 
 /* Say what an entry refused; returns the exit code of the error's kind. */
-int client_fail(const struct answer *a)
+int client_report_error(const struct response *a)
 {
 	const char *kind = json_string_value(json_object_get(a->json, "kind"));
 	const char *detail = json_string_value(json_object_get(a->json, "detail"));
--- a/packages/cli/cmd-cluster.c
+++ b/packages/cli/cmd-cluster.c
@@ -6,16 +6,16 @@
 static int fetch_rows(
 	struct cli *c, const char *path, const char *key, const char *value, json_t **rows)
 {
-	struct answer out;
+	struct response out;
 	size_t i;
 	json_t *row;
 	int code = EXIT_OK;
 
 	*rows = json_array();
-	if (!client_call(c, "GET", path, NULL, &out))
+	if (!client_request(c, "GET", path, NULL, &out))
 		return error_answer(ERR_NO_COORDINATOR)->exit_code;
 	if (out.status != 200)
-		code = client_fail(&out);
+		code = client_report_error(&out);
 	json_array_foreach(out.status == 200 ? out.json : NULL, i, row) {
 		const char *have =
 			key != NULL ? json_string_value(json_object_get(row, key)) : NULL;
@@ -23,7 +23,7 @@
 		if (key == NULL || (have != NULL && strcmp(have, value) == 0))
 			json_array_append(*rows, row);
 	}
-	answer_clear(&out);
+	response_clear(&out);
 	if (code == EXIT_OK && key != NULL && json_array_size(*rows) == 0) {
 		fprintf(stderr, "damaskpath: there is no %s %s\n", key, value);
 		code = error_answer(ERR_NOT_FOUND)->exit_code;
@@ -100,18 +100,18 @@
 static int drain(struct cli *c, const char *worker, const char *on)
 {
 	AUTOFREE char *path = NULL;
-	struct answer out;
+	struct response out;
 	int code;
 
 	xasprintf(&path, "/v1/workers/%s/drain?on=%s", worker, on);
-	if (!client_call(c, "POST", path, "", &out))
+	if (!client_request(c, "POST", path, "", &out))
 		return error_answer(ERR_NO_COORDINATOR)->exit_code;
-	code = out.status == 200 ? EXIT_OK : client_fail(&out);
+	code = out.status == 200 ? EXIT_OK : client_report_error(&out);
 	if (code == EXIT_OK && json_array_size(out.json) == 0) {
 		fprintf(stderr, "damaskpath: there is no worker %s\n", worker);
 		code = error_answer(ERR_NOT_FOUND)->exit_code;
 	}
-	answer_clear(&out);
+	response_clear(&out);
 	return code;
 }
 
--- a/packages/cli/cmd-config.c
+++ b/packages/cli/cmd-config.c
@@ -68,28 +68,28 @@
 static bool fetch_section(struct cli *c, const char *section, uint64_t *number, char **text)
 {
 	AUTOFREE char *path = NULL;
-	struct answer out;
+	struct response out;
 
 	*number = 0;
 	*text = xstrdup("");
 	xasprintf(&path, "/v1/config/%s", section);
-	if (!client_call(c, "GET", path, NULL, &out))
+	if (!client_request(c, "GET", path, NULL, &out))
 		return false;
 	if (out.status == 200) {
 		*number = (uint64_t)json_integer_value(json_object_get(out.json, "number"));
 		free(*text);
 		*text = xstrdup(json_string_value(json_object_get(out.json, "text")));
 	}
-	answer_clear(&out);
+	response_clear(&out);
 	return true;
 }
 
 /* Say why an edit was refused; for a lost race both versions are shown. */
-static int put_failed(const struct answer *out, const char *section)
+static int put_failed(const struct response *out, const char *section)
 {
 	const char *current = json_string_value(json_object_get(out->json, "current"));
 	const json_t *problems = json_object_get(out->json, "problems");
-	int code = client_fail(out);
+	int code = client_report_error(out);
 	size_t i;
 	json_t *p;
 
@@ -113,12 +113,12 @@
 {
 	const char *who = getenv("USER");
 	AUTOFREE char *path = NULL;
-	struct answer out;
+	struct response out;
 	int code = EXIT_OK;
 
 	xasprintf(&path, "/v1/config/%s?base=%" PRIu64 "&who=%s", section, base,
 		who != NULL && *who != '\0' ? who : "operator");
-	if (!client_call(c, "PUT", path, text, &out))
+	if (!client_request(c, "PUT", path, text, &out))
 		return error_answer(ERR_NO_COORDINATOR)->exit_code;
 	if (out.status != 200)
 		code = put_failed(&out, section);
@@ -127,7 +127,7 @@
 	else
 		printf("%s: accepted as edit %lld\n", section,
 			(long long)json_integer_value(json_object_get(out.json, "number")));
-	answer_clear(&out);
+	response_clear(&out);
 	return code;
 }
 
@@ -162,23 +162,23 @@
 {
 	static const struct column columns[] = {{"SECTION", "section"}, {"EDIT", "number"}};
 	AUTOFREE char *path = NULL;
-	struct answer out;
+	struct response out;
 	int code = EXIT_OK;
 
 	if (argc > 1)
 		return EXIT_USAGE;
 	xasprintf(&path, "/v1/config%s%s", argc == 1 ? "/" : "", argc == 1 ? argv[0] : "");
-	if (!client_call(c, "GET", path, NULL, &out))
+	if (!client_request(c, "GET", path, NULL, &out))
 		return error_answer(ERR_NO_COORDINATOR)->exit_code;
 	if (out.status != 200)
-		code = client_fail(&out);
+		code = client_report_error(&out);
 	else if (c->json)
 		print_json(out.json);
 	else if (argc == 1)
 		printf("%s", json_string_value(json_object_get(out.json, "text")));
 	else
 		print_table(json_object_get(out.json, "sections"), columns, ARRAY_LEN(columns));
-	answer_clear(&out);
+	response_clear(&out);
 	return code;
 }
 
@@ -249,21 +249,21 @@
 {
 	static const struct column columns[] = {{"WHEN", "when"}, {"WHO", "who"},
 		{"WHAT", "what"}, {"SECTION", "section"}, {"FROM", "from"}, {"TO", "to"}};
-	struct answer out;
+	struct response out;
 	int code = EXIT_OK;
 
 	(void)argv;
 	if (argc != 0)
 		return EXIT_USAGE;
-	if (!client_call(c, "GET", "/v1/config-history", NULL, &out))
+	if (!client_request(c, "GET", "/v1/config-history", NULL, &out))
 		return error_answer(ERR_NO_COORDINATOR)->exit_code;
 	if (out.status != 200)
-		code = client_fail(&out);
+		code = client_report_error(&out);
 	else if (c->json)
 		print_json(out.json);
 	else
 		print_table(out.json, columns, ARRAY_LEN(columns));
-	answer_clear(&out);
+	response_clear(&out);
 	return code;
 }
 
@@ -281,17 +281,17 @@
 static void add_rows(
 	struct cli *c, json_t *rows, const char *path, const char *name, const char *role)
 {
-	struct answer out;
+	struct response out;
 	size_t i;
 	json_t *row;
 
-	if (!client_call(c, "GET", path, NULL, &out))
+	if (!client_request(c, "GET", path, NULL, &out))
 		return;
 	json_array_foreach(out.status == 200 ? out.json : NULL, i, row) {
 		add_status(rows, json_string_value(json_object_get(row, name)), role,
 			json_object_get(row, "config"));
 	}
-	answer_clear(&out);
+	response_clear(&out);
 }
 
 /* config status: each entry that is named, the coordinators, the agents. */
@@ -307,12 +307,12 @@
 		return EXIT_USAGE;
 	for (size_t i = 0; all[i] != NULL; i++) {
 		char *one[] = {all[i], NULL};
-		struct answer out;
+		struct response out;
 
 		c->entries = one;
-		if (client_call(c, "GET", "/v1/config-status", NULL, &out))
+		if (client_request(c, "GET", "/v1/config-status", NULL, &out))
 			add_status(rows, all[i], "entry", json_object_get(out.json, "number"));
-		answer_clear(&out);
+		response_clear(&out);
 	}
 	c->entries = all;
 	add_rows(c, rows, "/v1/cells", "cell", "coordinator");
--- a/packages/cli/cmd-job.c
+++ b/packages/cli/cmd-job.c
@@ -83,15 +83,15 @@
 static int submit(struct cli *c, const struct submit_args *a)
 {
 	AUTOFREE char *body = submit_body(a);
-	struct answer out;
+	struct response out;
 	int code = EXIT_OK;
 
 	c->prefer = a->async->count > 0 ? "respond-async" : NULL;
 	c->key = a->key->count > 0 ? a->key->sval[0] : NULL;
-	if (!client_call(c, "POST", "/v1/jobs", body, &out))
+	if (!client_request(c, "POST", "/v1/jobs", body, &out))
 		return error_answer(ERR_NO_COORDINATOR)->exit_code;
 	if (out.type != NULL && strcmp(out.type, "application/problem+json") == 0) {
-		code = client_fail(&out);
+		code = client_report_error(&out);
 	} else if (out.status == 202 && !c->json) {
 		printf("%s\n", json_string_value(json_object_get(out.json, "id")));
 	} else {
@@ -99,7 +99,7 @@
 		if (out.body.len > 0 && ((char *)out.body.data)[out.body.len - 1] != '\n')
 			putchar('\n');
 	}
-	answer_clear(&out);
+	response_clear(&out);
 	return code;
 }
 
@@ -151,7 +151,7 @@
 
 		if (json_is_object(v) || json_is_array(v))
 			continue;
-		text = wide_text(o, key);
+		text = format_member(o, key);
 		printf("%-22s %s\n", key, text);
 	}
 }
@@ -161,18 +161,18 @@
 	struct cli *c, const char *id, const char *word, void (*print)(const json_t *))
 {
 	AUTOFREE char *path = job_path(c, id, word);
-	struct answer out;
+	struct response out;
 	int code = EXIT_OK;
 
-	if (!client_call(c, "GET", path, NULL, &out))
+	if (!client_request(c, "GET", path, NULL, &out))
 		return error_answer(ERR_NO_COORDINATOR)->exit_code;
 	if (out.status != 200)
-		code = client_fail(&out);
+		code = client_report_error(&out);
 	else if (c->json)
 		print_json(out.json);
 	else
 		print(out.json);
-	answer_clear(&out);
+	response_clear(&out);
 	return code;
 }
 
@@ -229,18 +229,18 @@
 int cmd_job_result(struct cli *c, int argc, char **argv)
 {
 	AUTOFREE char *path = argc == 1 ? job_path(c, argv[0], "/result") : NULL;
-	struct answer out;
+	struct response out;
 	int code = EXIT_OK;
 
 	if (path == NULL)
 		return EXIT_USAGE;
-	if (!client_call(c, "GET", path, NULL, &out))
+	if (!client_request(c, "GET", path, NULL, &out))
 		return error_answer(ERR_NO_COORDINATOR)->exit_code;
 	if (out.type != NULL && strcmp(out.type, "application/problem+json") == 0)
-		code = client_fail(&out);
+		code = client_report_error(&out);
 	else
 		fwrite(out.body.data, 1, out.body.len, stdout);
-	answer_clear(&out);
+	response_clear(&out);
 	return code;
 }
 
@@ -262,7 +262,7 @@
 {
 	AUTOFREE char *path = argc == 1 ? job_path(c, argv[0], "") : NULL;
 	AUTOFREE char *last = xstrdup("");
-	struct answer out;
+	struct response out;
 	int code = -1;
 
 	if (path == NULL)
@@ -270,13 +270,13 @@
 	while (code < 0) {
 		const char *state;
 
-		if (!client_call(c, "GET", path, NULL, &out))
+		if (!client_request(c, "GET", path, NULL, &out))
 			return error_answer(ERR_NO_COORDINATOR)->exit_code;
 		state = json_string_value(json_object_get(out.json, "state"));
 		if (out.status == 503) {
 			state = "unreachable";
 		} else if (out.status != 200) {
-			code = client_fail(&out);
+			code = client_report_error(&out);
 		} else if (state != NULL && strcmp(state, "ended") == 0) {
 			code = outcome_code(out.json);
 			if (c->json)
@@ -289,7 +289,7 @@
 			free(last);
 			last = xstrdup(state);
 		}
-		answer_clear(&out);
+		response_clear(&out);
 		if (code < 0)
 			usleep(WAIT_PERIOD_MS * 1000);
 	}
@@ -300,17 +300,17 @@
 int cmd_job_cancel(struct cli *c, int argc, char **argv)
 {
 	AUTOFREE char *path = argc == 1 ? job_path(c, argv[0], "") : NULL;
-	struct answer out;
+	struct response out;
 	int code;
 
 	if (path == NULL)
 		return EXIT_USAGE;
-	if (!client_call(c, "DELETE", path, NULL, &out))
+	if (!client_request(c, "DELETE", path, NULL, &out))
 		return error_answer(ERR_NO_COORDINATOR)->exit_code;
-	code = out.status == 200 ? EXIT_OK : client_fail(&out);
+	code = out.status == 200 ? EXIT_OK : client_report_error(&out);
 	if (code == EXIT_OK && !c->json)
 		printf("cancelling %s\n", argv[0]);
-	answer_clear(&out);
+	response_clear(&out);
 	return code;
 }
 
@@ -322,7 +322,7 @@
 		{"WITHIN", "within"}, {"STATE", "state"}, {"OUTCOME", "outcome"},
 		{"SUBMITTED", "submitted"}};
 	AUTOFREE char *path = NULL;
-	struct answer out;
+	struct response out;
 	int code = EXIT_OK;
 
 	(void)argv;
@@ -330,14 +330,14 @@
 		return EXIT_USAGE;
 	xasprintf(&path, "/v1/jobs%s%s", c->org != NULL ? "?organisation=" : "",
 		c->org != NULL ? c->org : "");
-	if (!client_call(c, "GET", path, NULL, &out))
+	if (!client_request(c, "GET", path, NULL, &out))
 		return error_answer(ERR_NO_COORDINATOR)->exit_code;
 	if (out.status != 200)
-		code = client_fail(&out);
+		code = client_report_error(&out);
 	else if (c->json)
 		print_json(out.json);
 	else
 		print_table(out.json, columns, ARRAY_LEN(columns));
-	answer_clear(&out);
+	response_clear(&out);
 	return code;
 }
--- a/packages/cli/print.c
+++ b/packages/cli/print.c
@@ -5,7 +5,7 @@
 #include <string.h>
 
 /* A value as text for people. */
-char *value_text(const json_t *v)
+char *format_value(const json_t *v)
 {
 	char *out;
 
@@ -23,13 +23,13 @@
 }
 
 /* A column's text; keys in milliseconds are shown as durations. */
-char *wide_text(const json_t *o, const char *key)
+char *format_member(const json_t *o, const char *key)
 {
 	const json_t *v = json_object_get(o, key);
 
 	if (json_is_integer(v) && g_str_has_suffix(key, "_ms"))
 		return duration_format(json_integer_value(v) * NSEC_PER_MSEC);
-	return value_text(v);
+	return format_value(v);
 }
 
 /* Print rows as an aligned table. */
@@ -42,7 +42,7 @@
 	for (size_t k = 0; k < len; k++) {
 		width[k] = strlen(columns[k].title);
 		json_array_foreach((json_t *)rows, i, row) {
-			AUTOFREE char *text = wide_text(row, columns[k].key);
+			AUTOFREE char *text = format_member(row, columns[k].key);
 
 			width[k] = MAX(width[k], strlen(text));
 		}
@@ -52,7 +52,7 @@
 			k + 1 < len ? "" : "\n");
 	json_array_foreach((json_t *)rows, i, row) {
 		for (size_t k = 0; k < len; k++) {
-			AUTOFREE char *text = wide_text(row, columns[k].key);
+			AUTOFREE char *text = format_member(row, columns[k].key);
 
 			printf("%-*s%s", k + 1 < len ? (int)width[k] + 2 : 0, text,
 				k + 1 < len ? "" : "\n");
