--- a/packages/cli/client.c
+++ b/packages/cli/client.c
@@ -3,31 +3,34 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define CALL_TIMEOUT (3600 * NSEC_PER_SEC)
+#define REQUEST_TIMEOUT (3600 * NSEC_PER_SEC) /* a synchronous submission waits for its job */
 
-/* Free an answer. */
-void response_clear(struct response *a)
+/* Free the contents of a response and reset it to zero. */
+void response_clear(struct response *resp)
 {
-	free(a->type);
-	bytes_clear(&a->body);
-	json_decref(a->json);
-	memset(a, 0, sizeof(*a));
+	free(resp->type);
+	bytes_clear(&resp->body);
+	json_decref(resp->json);
+	memset(resp, 0, sizeof(*resp));
 }
 
-/* Make one call to one entry; false where it cannot have arrived. */
-static bool call_one(struct cli *c, const char *entry, const char *method, const char *path,
-	const char *body, struct response *out, char **why)
+/*
+ * Send a request to one entry. Return false if it cannot have reached the entry, so that it may
+ * be sent to another one. On a transport error, resp is left as it is and *message is set.
+ */
+static bool request_entry(struct cli *c, const char *entry, const char *method,
+	const char *path, const char *body, struct response *resp, char **message)
 {
 	AUTOFREE char *url = NULL;
-	AUTOFREE char *bearer = NULL;
+	AUTOFREE char *authorization = NULL;
 	struct http_call *call;
-	bool reached;
+	bool may_have_arrived;
 
 	xasprintf(&url, "http://%s%s", entry, path);
 	call = http_call_new(method, url);
 	if (c->token != NULL) {
-		xasprintf(&bearer, "Bearer %s", c->token);
-		http_call_header(call, "Authorization", bearer);
+		xasprintf(&authorization, "Bearer %s", c->token);
+		http_call_header(call, "Authorization", authorization);
 	}
 	if (c->prefer != NULL)
 		http_call_header(call, "Prefer", c->prefer);
@@ -35,52 +38,56 @@
 		http_call_header(call, "Idempotency-Key", c->key);
 	if (body != NULL)
 		call->body = bytes_copy(body, strlen(body));
-	call->timeout = CALL_TIMEOUT;
+	call->timeout = REQUEST_TIMEOUT;
 	http_call_run(call);
-	reached = call->error == NULL || !call->never_sent;
+	may_have_arrived = call->error == NULL || !call->never_sent;
 	if (call->error != NULL) {
-		free(*why);
-		*why = xstrdup(call->error->message);
+		free(*message);
+		*message = xstrdup(call->error->message);
 	} else {
-		out->status = call->status;
-		out->type = xstrdup(call->type);
-		out->body = call->answer;
+		resp->status = call->status;
+		resp->type = xstrdup(call->type);
+		resp->body = call->answer;
 		call->answer = (struct bytes){0};
-		out->json = json_loadb(out->body.data, out->body.len, 0, NULL);
+		resp->json = json_loadb(resp->body.data, resp->body.len, 0, NULL);
 	}
 	http_call_free(call);
-	return reached;
+	return may_have_arrived;
 }
 
-/* Make a call to the first entry that can be reached; false, with a message, for none. */
+/*
+ * Send a request to the first entry that can be reached. Print a message and return false if
+ * there is no response.
+ */
 bool client_request(struct cli *c, const char *method, const char *path, const char *body,
-	struct response *out)
+	struct response *resp)
 {
-	AUTOFREE char *why = NULL;
+	AUTOFREE char *message = NULL;
 
-	memset(out, 0, sizeof(*out));
+	memset(resp, 0, sizeof(*resp));
 	for (size_t i = 0; c->entries[i] != NULL; i++) {
-		if (call_one(c, c->entries[i], method, path, body, out, &why))
+		if (request_entry(c, c->entries[i], method, path, body, resp, &message))
 			break;
 	}
-	if (out->status != 0)
+	if (resp->status != 0)
 		return true;
-	fprintf(stderr, "damaskpath: no entry answered: %s\n", why != NULL ? why : "unknown");
+	fprintf(stderr, "damaskpath: no response from an entry: %s\n",
+		message != NULL ? message : "unknown error");
 	return false;
 }
 
-/* Say what an entry refused; returns the exit code of the error's kind. */
-int client_report_error(const struct response *a)
+/* Print the error that a response reports. Return the exit code of its kind. */
+int client_report_error(const struct response *resp)
 {
-	const char *kind = json_string_value(json_object_get(a->json, "kind"));
-	const char *detail = json_string_value(json_object_get(a->json, "detail"));
-	enum error_kind k = ERR_INTERNAL;
+	const char *kind_name = json_string_value(json_object_get(resp->json, "kind"));
+	const char *detail = json_string_value(json_object_get(resp->json, "detail"));
+	enum error_kind kind = ERR_INTERNAL;
 
-	if (kind == NULL || !error_kind_parse(kind, &k)) {
-		fprintf(stderr, "damaskpath: status %d\n", a->status);
+	if (kind_name == NULL || !error_kind_parse(kind_name, &kind)) {
+		fprintf(stderr, "damaskpath: unexpected HTTP status %d\n", resp->status);
 		return error_answer(ERR_INTERNAL)->exit_code;
 	}
-	fprintf(stderr, "damaskpath: %s: %s%s\n", kind, detail != NULL ? detail : "",
-		json_is_true(json_object_get(a->json, "not_run")) ? " (it was not run)" : "");
-	return error_answer(k)->exit_code;
+	fprintf(stderr, "damaskpath: %s: %s%s\n", kind_name, detail != NULL ? detail : "",
+		json_is_true(json_object_get(resp->json, "not_run")) ? " (not run)" : "");
+	return error_answer(kind)->exit_code;
 }
