--- a/packages/cli/cmd-cluster.c
+++ b/packages/cli/cmd-cluster.c
@@ -2,36 +2,39 @@
 
 #include <string.h>
 
-/* GET a list and keep the rows whose key has a value, if one is given. */
+/*
+ * GET a list of rows. If key is not NULL, keep only the rows where it has the given value; none
+ * is an error. Return the exit code; the caller releases the rows in any case.
+ */
 static int fetch_rows(
 	struct cli *c, const char *path, const char *key, const char *value, json_t **rows)
 {
-	struct response out;
+	struct response resp;
 	size_t i;
 	json_t *row;
 	int code = EXIT_OK;
 
 	*rows = json_array();
-	if (!client_request(c, "GET", path, NULL, &out))
+	if (!client_request(c, "GET", path, NULL, &resp))
 		return error_answer(ERR_NO_COORDINATOR)->exit_code;
-	if (out.status != 200)
-		code = client_report_error(&out);
-	json_array_foreach(out.status == 200 ? out.json : NULL, i, row) {
-		const char *have =
+	if (resp.status != 200)
+		code = client_report_error(&resp);
+	json_array_foreach(resp.status == 200 ? resp.json : NULL, i, row) {
+		const char *row_value =
 			key != NULL ? json_string_value(json_object_get(row, key)) : NULL;
 
-		if (key == NULL || (have != NULL && strcmp(have, value) == 0))
+		if (key == NULL || (row_value != NULL && strcmp(row_value, value) == 0))
 			json_array_append(*rows, row);
 	}
-	response_clear(&out);
+	response_clear(&resp);
 	if (code == EXIT_OK && key != NULL && json_array_size(*rows) == 0) {
-		fprintf(stderr, "damaskpath: there is no %s %s\n", key, value);
+		fprintf(stderr, "damaskpath: %s %s not found\n", key, value);
 		code = error_answer(ERR_NOT_FOUND)->exit_code;
 	}
 	return code;
 }
 
-/* Fetch and print rows. */
+/* Fetch rows as fetch_rows does and print them as a table or JSON. */
 static int show_rows(struct cli *c, const char *path, const char *key, const char *value,
 	const struct column *columns, size_t len)
 {
@@ -51,7 +54,7 @@
 	{"BORROWED", "borrowed"}, {"QUEUED", "queued"}, {"IMPOSSIBLE", "impossible"},
 	{"RECLAIMABLE WITHIN", "reclaimable_within_ms"}};
 
-/* org list */
+/* org list: print the organisations, or only that of --org. */
 int cmd_org_list(struct cli *c, int argc, char **argv)
 {
 	AUTOFREE char *path = NULL;
@@ -63,7 +66,7 @@
 			 : EXIT_USAGE;
 }
 
-/* org show */
+/* org show: print one organisation. */
 int cmd_org_show(struct cli *c, int argc, char **argv)
 {
 	AUTOFREE char *path = NULL;
@@ -79,7 +82,7 @@
 	{"PROMISED", "promised"}, {"JOBS", "jobs"}, {"SLOTS", "slots"}, {"CONFIG", "config"},
 	{"AGENT", "agent"}};
 
-/* worker list */
+/* worker list: print all workers. */
 int cmd_worker_list(struct cli *c, int argc, char **argv)
 {
 	(void)argv;
@@ -88,7 +91,7 @@
 			 : EXIT_USAGE;
 }
 
-/* worker show */
+/* worker show: print one worker. */
 int cmd_worker_show(struct cli *c, int argc, char **argv)
 {
 	return argc == 1 ? show_rows(c, "/v1/workers", "worker", argv[0], worker_columns,
@@ -96,38 +99,38 @@
 			 : EXIT_USAGE;
 }
 
-/* Drain a worker, or end that. */
-static int drain(struct cli *c, const char *worker, const char *on)
+/* Start (on is "yes") or end (on is "no") draining a worker. */
+static int set_drain(struct cli *c, const char *worker, const char *on)
 {
 	AUTOFREE char *path = NULL;
-	struct response out;
+	struct response resp;
 	int code;
 
 	xasprintf(&path, "/v1/workers/%s/drain?on=%s", worker, on);
-	if (!client_request(c, "POST", path, "", &out))
+	if (!client_request(c, "POST", path, "", &resp))
 		return error_answer(ERR_NO_COORDINATOR)->exit_code;
-	code = out.status == 200 ? EXIT_OK : client_report_error(&out);
-	if (code == EXIT_OK && json_array_size(out.json) == 0) {
-		fprintf(stderr, "damaskpath: there is no worker %s\n", worker);
+	code = resp.status == 200 ? EXIT_OK : client_report_error(&resp);
+	if (code == EXIT_OK && json_array_size(resp.json) == 0) {
+		fprintf(stderr, "damaskpath: worker %s not found\n", worker);
 		code = error_answer(ERR_NOT_FOUND)->exit_code;
 	}
-	response_clear(&out);
+	response_clear(&resp);
 	return code;
 }
 
-/* worker drain */
+/* worker drain: stop placing work on a worker. */
 int cmd_worker_drain(struct cli *c, int argc, char **argv)
 {
-	return argc == 1 ? drain(c, argv[0], "yes") : EXIT_USAGE;
+	return argc == 1 ? set_drain(c, argv[0], "yes") : EXIT_USAGE;
 }
 
-/* worker undrain */
+/* worker undrain: place work on a drained worker again. */
 int cmd_worker_undrain(struct cli *c, int argc, char **argv)
 {
-	return argc == 1 ? drain(c, argv[0], "no") : EXIT_USAGE;
+	return argc == 1 ? set_drain(c, argv[0], "no") : EXIT_USAGE;
 }
 
-/* cell list */
+/* cell list: print all cells. */
 int cmd_cell_list(struct cli *c, int argc, char **argv)
 {
 	static const struct column columns[] = {{"CELL", "cell"}, {"TERM", "term"},
@@ -142,30 +145,30 @@
 			 : EXIT_USAGE;
 }
 
-/* audit: edits, then changes of jobs. */
+/* audit: print the edits of the configuration, then the changes of jobs. */
 int cmd_audit(struct cli *c, int argc, char **argv)
 {
 	static const struct column columns[] = {{"WHEN", "when"}, {"WHAT", "what"},
 		{"WHO", "who"}, {"SECTION", "section"}, {"FROM", "from"}, {"TO", "to"},
 		{"JOB", "job"}, {"DETAIL", "detail"}};
-	json_t *edits;
-	json_t *jobs = NULL;
+	json_t *config_edits;
+	json_t *job_changes = NULL;
 	int code;
 
 	(void)argv;
 	if (argc != 0)
 		return EXIT_USAGE;
-	code = fetch_rows(c, "/v1/config-history", NULL, NULL, &edits);
+	code = fetch_rows(c, "/v1/config-history", NULL, NULL, &config_edits);
 	if (code == EXIT_OK)
-		code = fetch_rows(c, "/v1/audit", NULL, NULL, &jobs);
+		code = fetch_rows(c, "/v1/audit", NULL, NULL, &job_changes);
 	if (code == EXIT_OK) {
-		json_array_extend(edits, jobs);
+		json_array_extend(config_edits, job_changes);
 		if (c->json)
-			print_json(edits);
+			print_json(config_edits);
 		else
-			print_table(edits, columns, ARRAY_LEN(columns));
+			print_table(config_edits, columns, ARRAY_LEN(columns));
 	}
-	json_decref(edits);
-	json_decref(jobs);
+	json_decref(config_edits);
+	json_decref(job_changes);
 	return code;
 }
