--- a/packages/cli/cli.h
+++ b/packages/cli/cli.h
@@ -56,7 +56,7 @@
 void print_table(const json_t *rows, const struct column *columns, size_t len);
 void print_json(const json_t *o);
 char *format_value(const json_t *v);
-char *format_member(const json_t *o, const char *key);
+char *format_field(const json_t *o, const char *key);
 
 /* The commands, in cmd-job.c, cmd-cluster.c, cmd-config.c and cmd.c. */
 int cmd_job_submit(struct cli *c, int argc, char **argv);
--- a/packages/cli/cmd-job.c
+++ b/packages/cli/cmd-job.c
@@ -151,7 +151,7 @@
 
 		if (json_is_object(v) || json_is_array(v))
 			continue;
-		text = format_member(o, key);
+		text = format_field(o, key);
 		printf("%-22s %s\n", key, text);
 	}
 }
--- a/packages/cli/print.c
+++ b/packages/cli/print.c
@@ -4,7 +4,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A value as text for people. */
+/* Format a JSON value as text, "-" for objects, arrays and null; the caller frees it. */
 char *format_value(const json_t *v)
 {
 	char *out;
@@ -22,8 +22,8 @@
 	return out;
 }
 
-/* A column's text; keys in milliseconds are shown as durations. */
-char *format_member(const json_t *o, const char *key)
+/* Format a field of an object. Integers whose key ends in _ms are formatted as durations. */
+char *format_field(const json_t *o, const char *key)
 {
 	const json_t *v = json_object_get(o, key);
 
@@ -32,36 +32,36 @@
 	return format_value(v);
 }
 
-/* Print rows as an aligned table. */
+/* Print an array of objects as a table with aligned columns. */
 void print_table(const json_t *rows, const struct column *columns, size_t len)
 {
 	size_t *width = xcalloc(len, sizeof(*width));
-	size_t i;
+	size_t row_index;
 	json_t *row;
 
-	for (size_t k = 0; k < len; k++) {
-		width[k] = strlen(columns[k].title);
-		json_array_foreach((json_t *)rows, i, row) {
-			AUTOFREE char *text = format_member(row, columns[k].key);
+	for (size_t col = 0; col < len; col++) {
+		width[col] = strlen(columns[col].title);
+		json_array_foreach((json_t *)rows, row_index, row) {
+			AUTOFREE char *text = format_field(row, columns[col].key);
 
-			width[k] = MAX(width[k], strlen(text));
+			width[col] = MAX(width[col], strlen(text));
 		}
 	}
-	for (size_t k = 0; k < len; k++)
-		printf("%-*s%s", k + 1 < len ? (int)width[k] + 2 : 0, columns[k].title,
-			k + 1 < len ? "" : "\n");
-	json_array_foreach((json_t *)rows, i, row) {
-		for (size_t k = 0; k < len; k++) {
-			AUTOFREE char *text = format_member(row, columns[k].key);
+	for (size_t col = 0; col < len; col++)
+		printf("%-*s%s", col + 1 < len ? (int)width[col] + 2 : 0, columns[col].title,
+			col + 1 < len ? "" : "\n");
+	json_array_foreach((json_t *)rows, row_index, row) {
+		for (size_t col = 0; col < len; col++) {
+			AUTOFREE char *text = format_field(row, columns[col].key);
 
-			printf("%-*s%s", k + 1 < len ? (int)width[k] + 2 : 0, text,
-				k + 1 < len ? "" : "\n");
+			printf("%-*s%s", col + 1 < len ? (int)width[col] + 2 : 0, text,
+				col + 1 < len ? "" : "\n");
 		}
 	}
 	free(width);
 }
 
-/* Print JSON for programs. */
+/* Print JSON, indented and with sorted keys. */
 void print_json(const json_t *o)
 {
 	char *text = json_dumps(o, JSON_INDENT(2) | JSON_SORT_KEYS | JSON_ENCODE_ANY);
