--- a/packages/cli/print.c
+++ b/packages/cli/print.c
@@ -4,6 +4,8 @@
 #include <stdlib.h>
 #include <string.h>
 
+#define COLUMN_GAP 2 /* spaces between two columns of a table */
+
 /* Format a JSON value as text, "-" for objects, arrays and null; the caller frees it. */
 char *format_value(const json_t *v)
 {
@@ -48,13 +50,13 @@
 		}
 	}
 	for (size_t col = 0; col < len; col++)
-		printf("%-*s%s", col + 1 < len ? (int)width[col] + 2 : 0, columns[col].title,
-			col + 1 < len ? "" : "\n");
+		printf("%-*s%s", col + 1 < len ? (int)width[col] + COLUMN_GAP : 0,
+			columns[col].title, col + 1 < len ? "" : "\n");
 	json_array_foreach((json_t *)rows, row_index, row) {
 		for (size_t col = 0; col < len; col++) {
 			AUTOFREE char *text = format_field(row, columns[col].key);
 
-			printf("%-*s%s", col + 1 < len ? (int)width[col] + 2 : 0, text,
+			printf("%-*s%s", col + 1 < len ? (int)width[col] + COLUMN_GAP : 0, text,
 				col + 1 < len ? "" : "\n");
 		}
 	}
