--- a/packages/cli/cmd-job.c
+++ b/packages/cli/cmd-job.c
@@ -5,19 +5,20 @@
 #include <string.h>
 #include <unistd.h>
 
-#define WAIT_PERIOD_MS 500
+#define POLL_INTERVAL_MS 500 /* between two requests of job wait */
+#define PARSE_ERRORS_MAX 8   /* errors reported for one command line */
 
-/* The path of a job with the asker's organisation. */
-static char *job_path(const struct cli *c, const char *id, const char *word)
+/* Return the URL path of a job, with the organisation to act for; the caller frees it. */
+static char *job_path(const struct cli *c, const char *id, const char *suffix)
 {
 	char *path;
 
-	xasprintf(&path, "/v1/jobs/%s%s%s%s", id, word, c->org != NULL ? "?organisation=" : "",
-		c->org != NULL ? c->org : "");
+	xasprintf(&path, "/v1/jobs/%s%s%s%s", id, suffix,
+		c->org != NULL ? "?organisation=" : "", c->org != NULL ? c->org : "");
 	return path;
 }
 
-/* The flags of a submission, as argtable wants them. */
+/* The argtable of job submit; its members must be pointers only and end with the arg_end. */
 struct submit_args {
 	struct arg_str *org;
 	struct arg_str *class_name;
@@ -36,42 +37,43 @@
 	struct arg_end *end;
 };
 
-/* Set a text member where the flag was given. */
-static void put_text(json_t *o, const char *name, const struct arg_str *a)
+/* Set a string member if its flag was given. */
+static void set_string(json_t *o, const char *name, const struct arg_str *a)
 {
 	if (a->count > 0)
 		json_object_set_new(o, name, json_string(a->sval[0]));
 }
 
-/* Set a number member where the flag was given. */
-static void put_int(json_t *o, const char *name, const struct arg_int *a)
+/* Set an integer member if its flag was given. */
+static void set_integer(json_t *o, const char *name, const struct arg_int *a)
 {
 	if (a->count > 0)
 		json_object_set_new(o, name, json_integer(a->ival[0]));
 }
 
-static void put_real(json_t *o, const char *name, const struct arg_dbl *a)
+/* Set a real number member if its flag was given. */
+static void set_real(json_t *o, const char *name, const struct arg_dbl *a)
 {
 	if (a->count > 0)
 		json_object_set_new(o, name, json_real(a->dval[0]));
 }
 
-/* The body of a submission. */
+/* Return the JSON body of a submission; the caller frees it. */
 static char *submit_body(const struct submit_args *a)
 {
 	json_t *o = json_object();
 	char *text;
 
-	put_text(o, "organisation", a->org);
-	put_text(o, "class", a->class_name);
-	put_text(o, "kind", a->kind);
-	put_text(o, "within", a->within);
-	put_text(o, "payload", a->payload);
-	put_int(o, "accelerators", a->accelerators);
-	put_int(o, "cores", a->cores);
-	put_int(o, "memory_mb", a->memory);
-	put_real(o, "run_time_s", a->run_time);
-	put_real(o, "deadline_s", a->deadline);
+	set_string(o, "organisation", a->org);
+	set_string(o, "class", a->class_name);
+	set_string(o, "kind", a->kind);
+	set_string(o, "within", a->within);
+	set_string(o, "payload", a->payload);
+	set_integer(o, "accelerators", a->accelerators);
+	set_integer(o, "cores", a->cores);
+	set_integer(o, "memory_mb", a->memory);
+	set_real(o, "run_time_s", a->run_time);
+	set_real(o, "deadline_s", a->deadline);
 	json_object_set_new(o, "idempotent", json_boolean(a->idempotent->count > 0));
 	json_object_set_new(o, "checkpoint", json_boolean(a->checkpoint->count > 0));
 	text = json_dumps(o, JSON_COMPACT);
@@ -79,49 +81,50 @@
 	return text;
 }
 
-/* Submit with parsed flags. */
+/* Submit a job and print the response, or the job's ID if it was only accepted. */
 static int submit(struct cli *c, const struct submit_args *a)
 {
 	AUTOFREE char *body = submit_body(a);
-	struct response out;
+	struct response resp;
 	int code = EXIT_OK;
 
 	c->prefer = a->async->count > 0 ? "respond-async" : NULL;
 	c->key = a->key->count > 0 ? a->key->sval[0] : NULL;
-	if (!client_request(c, "POST", "/v1/jobs", body, &out))
+	if (!client_request(c, "POST", "/v1/jobs", body, &resp))
 		return error_answer(ERR_NO_COORDINATOR)->exit_code;
-	if (out.type != NULL && strcmp(out.type, "application/problem+json") == 0) {
-		code = client_report_error(&out);
-	} else if (out.status == 202 && !c->json) {
-		printf("%s\n", json_string_value(json_object_get(out.json, "id")));
+	if (resp.type != NULL && strcmp(resp.type, "application/problem+json") == 0) {
+		code = client_report_error(&resp);
+	} else if (resp.status == 202 && !c->json) {
+		printf("%s\n", json_string_value(json_object_get(resp.json, "id")));
 	} else {
-		fwrite(out.body.data, 1, out.body.len, stdout);
-		if (out.body.len > 0 && ((char *)out.body.data)[out.body.len - 1] != '\n')
+		fwrite(resp.body.data, 1, resp.body.len, stdout);
+		if (resp.body.len > 0 && ((char *)resp.body.data)[resp.body.len - 1] != '\n')
 			putchar('\n');
 	}
-	response_clear(&out);
+	response_clear(&resp);
 	return code;
 }
 
-/* job submit */
+/* job submit: submit a job and wait for its result unless --async is given. */
 int cmd_job_submit(struct cli *c, int argc, char **argv)
 {
 	struct submit_args a = {
 		arg_str1(NULL, NULL, "ORG", "organisation"),
 		arg_str0(NULL, "class", "CLASS", "class of the job"),
-		arg_str0(NULL, "kind", "KIND", "kind, for which run times are learned"),
-		arg_int0(NULL, "accelerators", "N", "accelerators"),
-		arg_str0(NULL, "within", "any|rack|worker", "how close together"),
-		arg_int0(NULL, "cores", "N", "cores"),
-		arg_int0(NULL, "memory", "MIB", "memory"),
+		arg_str0(NULL, "kind", "KIND", "kind of job, by which run times are learned"),
+		arg_int0(NULL, "accelerators", "N", "number of accelerators"),
+		arg_str0(NULL, "within", "any|rack|worker", "placement of the accelerators"),
+		arg_int0(NULL, "cores", "N", "number of CPU cores"),
+		arg_int0(NULL, "memory", "MIB", "memory in MiB"),
 		arg_dbl0(NULL, "run-time", "SECONDS", "expected run time"),
-		arg_dbl0(NULL, "deadline", "SECONDS", "time within which it must start"),
-		arg_lit0(NULL, "idempotent", "may run more than once"),
-		arg_lit0(NULL, "checkpoint", "can save its state and go on later"),
-		arg_lit0(NULL, "async", "do not wait for the answer"),
-		arg_str0(NULL, "key", "KEY", "makes repeated requests one job"),
-		arg_str0(NULL, "payload", "TEXT", "payload"),
-		arg_end(8),
+		arg_dbl0(NULL, "deadline", "SECONDS", "time within which the job must start"),
+		arg_lit0(NULL, "idempotent", "the job may run more than once"),
+		arg_lit0(NULL, "checkpoint", "can resume from a checkpoint"),
+		arg_lit0(NULL, "async", "do not wait for the result"),
+		arg_str0(NULL, "key", "KEY",
+			"idempotency key; requests with the same key are one job"),
+		arg_str0(NULL, "payload", "TEXT", "payload of the job"),
+		arg_end(PARSE_ERRORS_MAX),
 	};
 	char **args = xcalloc((size_t)argc + 2, sizeof(*args));
 	int code = EXIT_USAGE;
@@ -140,7 +143,7 @@
 	return code;
 }
 
-/* Print one object as key and value lines. */
+/* Print the scalar fields of an object, one key and value per line. */
 static void print_object(const json_t *o)
 {
 	const char *key;
@@ -156,34 +159,34 @@
 	}
 }
 
-/* GET a job and print it with a function. */
+/* GET a job, or a resource below it, and print it as JSON or with print_job. */
 static int show_job(
-	struct cli *c, const char *id, const char *word, void (*print)(const json_t *))
+	struct cli *c, const char *id, const char *suffix, void (*print_job)(const json_t *))
 {
-	AUTOFREE char *path = job_path(c, id, word);
-	struct response out;
+	AUTOFREE char *path = job_path(c, id, suffix);
+	struct response resp;
 	int code = EXIT_OK;
 
-	if (!client_request(c, "GET", path, NULL, &out))
+	if (!client_request(c, "GET", path, NULL, &resp))
 		return error_answer(ERR_NO_COORDINATOR)->exit_code;
-	if (out.status != 200)
-		code = client_report_error(&out);
+	if (resp.status != 200)
+		code = client_report_error(&resp);
 	else if (c->json)
-		print_json(out.json);
+		print_json(resp.json);
 	else
-		print(out.json);
-	response_clear(&out);
+		print_job(resp.json);
+	response_clear(&resp);
 	return code;
 }
 
-/* job status */
+/* job status: print a job. */
 int cmd_job_status(struct cli *c, int argc, char **argv)
 {
 	return argc == 1 ? show_job(c, argv[0], "", print_object) : EXIT_USAGE;
 }
 
-/* Tell a decision in sentences. */
-static void print_explain(const json_t *o)
+/* Print the last scheduling decision for a job in sentences. */
+static void print_explanation(const json_t *o)
 {
 	const json_t *why = json_object_get(o, "why");
 	const char *unblock = json_string_value(json_object_get(why, "unblock"));
@@ -219,33 +222,33 @@
 		printf("Outcome: %s.\n", json_string_value(json_object_get(o, "detail")));
 }
 
-/* job explain */
+/* job explain: print why a job is waiting or where it was placed. */
 int cmd_job_explain(struct cli *c, int argc, char **argv)
 {
-	return argc == 1 ? show_job(c, argv[0], "/explain", print_explain) : EXIT_USAGE;
+	return argc == 1 ? show_job(c, argv[0], "/explain", print_explanation) : EXIT_USAGE;
 }
 
-/* job result */
+/* job result: print the upstream's response of an ended job. */
 int cmd_job_result(struct cli *c, int argc, char **argv)
 {
 	AUTOFREE char *path = argc == 1 ? job_path(c, argv[0], "/result") : NULL;
-	struct response out;
+	struct response resp;
 	int code = EXIT_OK;
 
 	if (path == NULL)
 		return EXIT_USAGE;
-	if (!client_request(c, "GET", path, NULL, &out))
+	if (!client_request(c, "GET", path, NULL, &resp))
 		return error_answer(ERR_NO_COORDINATOR)->exit_code;
-	if (out.type != NULL && strcmp(out.type, "application/problem+json") == 0)
-		code = client_report_error(&out);
+	if (resp.type != NULL && strcmp(resp.type, "application/problem+json") == 0)
+		code = client_report_error(&resp);
 	else
-		fwrite(out.body.data, 1, out.body.len, stdout);
-	response_clear(&out);
+		fwrite(resp.body.data, 1, resp.body.len, stdout);
+	response_clear(&resp);
 	return code;
 }
 
-/* The exit code for an ended job. */
-static int outcome_code(const json_t *o)
+/* Return the exit code for an ended job. */
+static int outcome_exit_code(const json_t *o)
 {
 	const char *outcome = json_string_value(json_object_get(o, "outcome"));
 	const char *error = json_string_value(json_object_get(o, "error"));
@@ -257,12 +260,15 @@
 	return error_answer(kind)->exit_code;
 }
 
-/* job wait */
+/*
+ * job wait: poll a job until it has ended. If standard error is a terminal, print each change
+ * of its state there. A response of 503 is retried.
+ */
 int cmd_job_wait(struct cli *c, int argc, char **argv)
 {
 	AUTOFREE char *path = argc == 1 ? job_path(c, argv[0], "") : NULL;
-	AUTOFREE char *last = xstrdup("");
-	struct response out;
+	AUTOFREE char *last_state = xstrdup("");
+	struct response resp;
 	int code = -1;
 
 	if (path == NULL)
@@ -270,51 +276,52 @@
 	while (code < 0) {
 		const char *state;
 
-		if (!client_request(c, "GET", path, NULL, &out))
+		if (!client_request(c, "GET", path, NULL, &resp))
 			return error_answer(ERR_NO_COORDINATOR)->exit_code;
-		state = json_string_value(json_object_get(out.json, "state"));
-		if (out.status == 503) {
+		state = json_string_value(json_object_get(resp.json, "state"));
+		if (resp.status == 503) {
 			state = "unreachable";
-		} else if (out.status != 200) {
-			code = client_report_error(&out);
+		} else if (resp.status != 200) {
+			code = client_report_error(&resp);
 		} else if (state != NULL && strcmp(state, "ended") == 0) {
-			code = outcome_code(out.json);
+			code = outcome_exit_code(resp.json);
 			if (c->json)
-				print_json(out.json);
+				print_json(resp.json);
 			else
-				print_object(out.json);
+				print_object(resp.json);
 		}
-		if (code < 0 && state != NULL && strcmp(state, last) != 0 && isatty(2)) {
+		if (code < 0 && state != NULL && strcmp(state, last_state) != 0 &&
+			isatty(STDERR_FILENO)) {
 			fprintf(stderr, "%s: %s\n", argv[0], state);
-			free(last);
-			last = xstrdup(state);
+			free(last_state);
+			last_state = xstrdup(state);
 		}
-		response_clear(&out);
+		response_clear(&resp);
 		if (code < 0)
-			usleep(WAIT_PERIOD_MS * 1000);
+			usleep(POLL_INTERVAL_MS * 1000);
 	}
 	return code;
 }
 
-/* job cancel */
+/* job cancel: request the cancellation of a job. */
 int cmd_job_cancel(struct cli *c, int argc, char **argv)
 {
 	AUTOFREE char *path = argc == 1 ? job_path(c, argv[0], "") : NULL;
-	struct response out;
+	struct response resp;
 	int code;
 
 	if (path == NULL)
 		return EXIT_USAGE;
-	if (!client_request(c, "DELETE", path, NULL, &out))
+	if (!client_request(c, "DELETE", path, NULL, &resp))
 		return error_answer(ERR_NO_COORDINATOR)->exit_code;
-	code = out.status == 200 ? EXIT_OK : client_report_error(&out);
+	code = resp.status == 200 ? EXIT_OK : client_report_error(&resp);
 	if (code == EXIT_OK && !c->json)
 		printf("cancelling %s\n", argv[0]);
-	response_clear(&out);
+	response_clear(&resp);
 	return code;
 }
 
-/* job list */
+/* job list: print the jobs, or only those of --org. */
 int cmd_job_list(struct cli *c, int argc, char **argv)
 {
 	static const struct column columns[] = {{"JOB", "id"}, {"ORGANISATION", "organisation"},
@@ -322,7 +329,7 @@
 		{"WITHIN", "within"}, {"STATE", "state"}, {"OUTCOME", "outcome"},
 		{"SUBMITTED", "submitted"}};
 	AUTOFREE char *path = NULL;
-	struct response out;
+	struct response resp;
 	int code = EXIT_OK;
 
 	(void)argv;
@@ -330,14 +337,14 @@
 		return EXIT_USAGE;
 	xasprintf(&path, "/v1/jobs%s%s", c->org != NULL ? "?organisation=" : "",
 		c->org != NULL ? c->org : "");
-	if (!client_request(c, "GET", path, NULL, &out))
+	if (!client_request(c, "GET", path, NULL, &resp))
 		return error_answer(ERR_NO_COORDINATOR)->exit_code;
-	if (out.status != 200)
-		code = client_report_error(&out);
+	if (resp.status != 200)
+		code = client_report_error(&resp);
 	else if (c->json)
-		print_json(out.json);
+		print_json(resp.json);
 	else
-		print_table(out.json, columns, ARRAY_LEN(columns));
-	response_clear(&out);
+		print_table(resp.json, columns, ARRAY_LEN(columns));
+	response_clear(&resp);
 	return code;
 }
