--- a/packages/cli/cmd.c
+++ b/packages/cli/cmd.c
@@ -2,37 +2,40 @@
 
 #include <string.h>
 
-/* All commands. */
+/* All commands. Those with the same first word must be adjacent: cmd_completion relies on it.
+ */
 static const struct cmd_entry commands[] = {
 	{"job submit", "submit",
 		"ORG [--class C] [--kind K] [--accelerators N] [--within W] ...",
-		"submit a job and wait for its answer", cmd_job_submit},
+		"submit a job and wait for its result", cmd_job_submit},
 	{"job status", "status", "ID", "show one job", cmd_job_status},
-	{"job result", "result", "ID", "print the upstream's answer of an ended job",
+	{"job result", "result", "ID", "print the upstream's response of an ended job",
 		cmd_job_result},
 	{"job wait", "wait", "ID", "wait until a job has ended", cmd_job_wait},
 	{"job cancel", "cancel", "ID", "cancel a job", cmd_job_cancel},
 	{"job list", "jobs", "", "list jobs", cmd_job_list},
-	{"job explain", "explain", "ID", "say why a job waits, or went where it went",
+	{"job explain", "explain", "ID", "explain why a job is waiting or where it was placed",
 		cmd_job_explain},
-	{"org list", "orgs", "", "list organisations with what they use and lend",
+	{"org list", "orgs", "", "list organisations with their usage and lending",
 		cmd_org_list},
 	{"org show", NULL, "ORG", "show one organisation", cmd_org_show},
 	{"worker list", "workers", "", "list workers", cmd_worker_list},
 	{"worker show", NULL, "WORKER", "show one worker", cmd_worker_show},
-	{"worker drain", NULL, "WORKER", "give a worker no new work", cmd_worker_drain},
-	{"worker undrain", NULL, "WORKER", "give a worker work again", cmd_worker_undrain},
+	{"worker drain", NULL, "WORKER", "stop placing work on a worker", cmd_worker_drain},
+	{"worker undrain", NULL, "WORKER", "resume placing work on a worker",
+		cmd_worker_undrain},
 	{"cell list", "cells", "", "list cells", cmd_cell_list},
-	{"config check", NULL, "FILE", "check a document without a cluster", cmd_config_check},
-	{"config apply", NULL, "FILE", "set each section of a document that differs",
+	{"config check", NULL, "FILE", "validate a document without a cluster",
+		cmd_config_check},
+	{"config apply", NULL, "FILE", "replace each section that differs from a document",
 		cmd_config_apply},
 	{"config get", NULL, "[SECTION]", "list the sections, or print one", cmd_config_get},
-	{"config set", NULL, "SECTION FILE [BASE]", "replace a section made from edit BASE",
+	{"config set", NULL, "SECTION FILE [BASE]", "replace a section, based on edit BASE",
 		cmd_config_set},
-	{"config diff", NULL, "SECTION FILE", "compare a file with the section in force",
+	{"config diff", NULL, "SECTION FILE", "compare a file with the current section",
 		cmd_config_diff},
-	{"config history", NULL, "", "list the edits", cmd_config_history},
-	{"config status", NULL, "", "show which process has which configuration",
+	{"config history", NULL, "", "list the edits of the configuration", cmd_config_history},
+	{"config status", NULL, "", "show the configuration in use on each process",
 		cmd_config_status},
 	{"audit", NULL, "", "list changes of configuration and jobs", cmd_audit},
 	{"completion", NULL, "", "print the completion script for bash", cmd_completion},
@@ -41,7 +44,8 @@
 const struct cmd_entry *const cmd_table = commands;
 const size_t cmd_table_len = ARRAY_LEN(commands);
 
-/* Whether the first words of the arguments are a command's name; returns how many. */
+/* Return how many arguments the name of a command takes up, or 0 if they do not start with it.
+ */
 static int match_name(const char *name, int argc, char **argv)
 {
 	g_auto(GStrv) words = g_strsplit(name, " ", -1);
@@ -56,7 +60,7 @@
 	return n;
 }
 
-/* Find a command; *used is how many words name it. */
+/* Look up a command by name or alias. *used is set to the number of arguments in its name. */
 const struct cmd_entry *cmd_find(int argc, char **argv, int *used)
 {
 	for (size_t i = 0; i < ARRAY_LEN(commands); i++) {
@@ -69,7 +73,7 @@
 	return NULL;
 }
 
-/* Print the completion script. */
+/* completion: print a bash script that completes commands and file names. */
 int cmd_completion(struct cli *c, int argc, char **argv)
 {
 	(void)c;
