--- a/packages/cli/main.c
+++ b/packages/cli/main.c
@@ -3,9 +3,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define ENTRY_DEFAULT "127.0.0.1:8080"
+#define DEFAULT_ENTRY "127.0.0.1:8080"
 
-/* Print how the program is called. */
+/* Print the usage message with the list of commands. */
 static void print_usage(FILE *out)
 {
 	fprintf(out,
@@ -20,16 +20,16 @@
 		"DAMASKPATH_ORG.\n");
 }
 
-/* The value of an environment variable, or a default. */
-static const char *env_or(const char *name, const char *missing)
+/* Return an environment variable, or the default if it is unset or empty. */
+static const char *getenv_default(const char *name, const char *default_value)
 {
 	const char *v = getenv(name);
 
-	return v != NULL && *v != '\0' ? v : missing;
+	return v != NULL && *v != '\0' ? v : default_value;
 }
 
-/* Take the options before the command; returns how many words, -1 for a bad one. */
-static int take_options(struct cli *c, const char **entries, int argc, char **argv)
+/* Parse the options before the command. Return the index of the first one after them, or -1. */
+static int parse_options(struct cli *c, const char **entries, int argc, char **argv)
 {
 	int i = 1;
 
@@ -50,13 +50,13 @@
 
 int main(int argc, char **argv)
 {
-	struct cli c = {.token = env_or("DAMASKPATH_TOKEN", NULL),
-		.org = env_or("DAMASKPATH_ORG", NULL)};
-	const char *entries = env_or("DAMASKPATH_ENTRY", ENTRY_DEFAULT);
+	struct cli c = {.token = getenv_default("DAMASKPATH_TOKEN", NULL),
+		.org = getenv_default("DAMASKPATH_ORG", NULL)};
+	const char *entries = getenv_default("DAMASKPATH_ENTRY", DEFAULT_ENTRY);
 	const struct cmd_entry *cmd;
-	int used = 0;
+	int name_args = 0;
 	int code;
-	int at;
+	int first_arg;
 
 	if (argc > 1 && strcmp(argv[1], "--version") == 0) {
 		printf("damaskpath %s\n", DP_VERSION);
@@ -66,16 +66,16 @@
 		print_usage(stdout);
 		return EXIT_OK;
 	}
-	at = take_options(&c, &entries, argc, argv);
-	cmd = at > 0 ? cmd_find(argc - at, argv + at, &used) : NULL;
+	first_arg = parse_options(&c, &entries, argc, argv);
+	cmd = first_arg > 0 ? cmd_find(argc - first_arg, argv + first_arg, &name_args) : NULL;
 	if (cmd == NULL) {
 		print_usage(stderr);
 		return EXIT_USAGE;
 	}
 	log_set_level(LOG_LEVEL_WARNING);
 	c.entries = g_strsplit(entries, ",", -1);
-	code = cmd->exec(&c, argc - at - used, argv + at + used);
-	if (code == EXIT_USAGE && argc - at - used == 0)
+	code = cmd->exec(&c, argc - first_arg - name_args, argv + first_arg + name_args);
+	if (code == EXIT_USAGE && argc - first_arg - name_args == 0)
 		fprintf(stderr, "usage: damaskpath %s %s\n", cmd->name, cmd->usage);
 	g_strfreev(c.entries);
 	return code;
