--- a/packages/cli/cli.h
+++ b/packages/cli/cli.h
@@ -27,7 +27,7 @@
 };
 
 /* cmd.c: the table of commands. */
-const struct cmd_entry *cmd_find(int argc, char **argv, int *used);
+const struct cmd_entry *cmd_find(int argc, char **argv, int *name_args);
 extern const struct cmd_entry *const cmd_table;
 extern const size_t cmd_table_len;
 
--- a/packages/cli/cmd.c
+++ b/packages/cli/cmd.c
@@ -60,14 +60,15 @@
 	return n;
 }
 
-/* Look up a command by name or alias. *used is set to the number of arguments in its name. */
-const struct cmd_entry *cmd_find(int argc, char **argv, int *used)
+/* Look up a command by name or alias. *name_args is set to the number of arguments in its name.
+ */
+const struct cmd_entry *cmd_find(int argc, char **argv, int *name_args)
 {
 	for (size_t i = 0; i < ARRAY_LEN(commands); i++) {
-		*used = match_name(commands[i].name, argc, argv);
-		if (*used == 0 && commands[i].alias != NULL)
-			*used = match_name(commands[i].alias, argc, argv);
-		if (*used > 0)
+		*name_args = match_name(commands[i].name, argc, argv);
+		if (*name_args == 0 && commands[i].alias != NULL)
+			*name_args = match_name(commands[i].alias, argc, argv);
+		if (*name_args > 0)
 			return &commands[i];
 	}
 	return NULL;
--- a/packages/cli/main.c
+++ b/packages/cli/main.c
@@ -28,7 +28,7 @@
 	return v != NULL && *v != '\0' ? v : default_value;
 }
 
-/* Parse the options before the command. Return the index of the first one after them, or -1. */
+/* Parse the options. Return the index of the command in argv, or -1 for an invalid option. */
 static int parse_options(struct cli *c, const char **entries, int argc, char **argv)
 {
 	int i = 1;
