--- a/packages/base/event.c
+++ b/packages/base/event.c
@@ -15,10 +15,10 @@
  */
 
 #define PENDING_MAX	    (256u * 1024) /* bytes buffered for a slow reader */
-#define WRITE_MAX	    4096u /* bytes per write; a writable pipe accepts them without blocking */
-#define EVENT_LINES_PER_S   40u	 /* lines per second and event */
-#define PROCESS_LINES_PER_S 200u /* lines per second for all events of a process */
-#define LINE_MAX_LEN	    1024 /* bytes; longer fields are truncated */
+#define WRITE_MAX	    4096u /* bytes; a writable pipe accepts them without blocking */
+#define EVENT_LINES_PER_S   40u	  /* lines per second and event */
+#define PROCESS_LINES_PER_S 200u  /* lines per second for all events of a process */
+#define LINE_MAX_LEN	    1024  /* bytes; longer fields are truncated */
 
 COUNTER(lines_dropped, "damaskpath_log_dropped_total",
 	"Log lines dropped for a slow reader or over the rate.");
--- a/packages/base/option.c
+++ b/packages/base/option.c
@@ -5,9 +5,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define FLAG_REPEATS_MAX 8 /* occurrences of a flag on the command line; the last one counts   \
-			    */
-#define PARSE_ERRORS_MAX 8
+#define FLAG_REPEATS_MAX 8 /* times that a flag may be given; the last one counts */
+#define PARSE_ERRORS_MAX 8 /* errors recorded; only the first one is reported */
 
 struct options {
 	const struct option_entry *table;
