--- a/packages/cli/cmd-job.c
+++ b/packages/cli/cmd-job.c
@@ -6,7 +6,7 @@
 #include <unistd.h>
 
 #define POLL_INTERVAL_MS 500 /* between two requests of job wait */
-#define PARSE_ERRORS_MAX 8   /* errors reported for one command line */
+#define PARSE_ERRORS_MAX 8   /* errors recorded for one command line */
 
 /* Return the URL path of a job, with the organisation to act for; the caller frees it. */
 static char *job_path(const struct cli *c, const char *id, const char *suffix)
