--- a/packages/base/base.h
+++ b/packages/base/base.h
@@ -34,8 +34,7 @@
 struct bytes bytes_copy(const void *data, size_t len);
 void bytes_clear(struct bytes *b);
 
-/* error.c: error kinds; error_infos[] maps each to its HTTP status, retry advice and exit code.
- */
+/* error.c: all error kinds. error_infos[] says how each is reported to a caller. */
 enum error_kind {
 	ERR_INVALID,
 	ERR_TOO_LARGE,
--- a/packages/base/option.c
+++ b/packages/base/option.c
@@ -172,8 +172,7 @@
 	free(o);
 }
 
-/* Look up a setting; aborts if the table does not contain it, as that is a programming error.
- */
+/* Look up a setting; abort if the table lacks it, as that is a programming error. */
 static const struct option_value *find_value(const struct options *o, const char *name)
 {
 	for (size_t i = 0; i < o->count; i++) {
