--- a/packages/cli/cmd.c
+++ b/packages/cli/cmd.c
@@ -2,8 +2,7 @@
 
 #include <string.h>
 
-/* All commands. Those with the same first word must be adjacent: cmd_completion relies on it.
- */
+/* All commands. cmd_completion needs those with the same first word to be adjacent. */
 static const struct cmd_entry commands[] = {
 	{"job submit", "submit",
 		"ORG [--class C] [--kind K] [--accelerators N] [--within W] ...",
@@ -44,8 +43,7 @@
 const struct cmd_entry *const cmd_table = commands;
 const size_t cmd_table_len = ARRAY_LEN(commands);
 
-/* Return how many arguments the name of a command takes up, or 0 if they do not start with it.
- */
+/* Return how many arguments a command's name takes up, or 0 if they do not start with it. */
 static int match_name(const char *name, int argc, char **argv)
 {
 	g_auto(GStrv) words = g_strsplit(name, " ", -1);
@@ -60,8 +58,7 @@
 	return n;
 }
 
-/* Look up a command by name or alias. *name_args is set to the number of arguments in its name.
- */
+/* Look up a command by name or alias; *name_args is how many arguments its name takes up. */
 const struct cmd_entry *cmd_find(int argc, char **argv, int *name_args)
 {
 	for (size_t i = 0; i < ARRAY_LEN(commands); i++) {
