--- a/packages/workload/wl-job.c
+++ b/packages/workload/wl-job.c
@@ -2,11 +2,12 @@
 
 #include <inttypes.h>
 
-/* The terms of a queue that no configuration has any more. */
+/* Settings of a job whose queue has been removed from the configuration. */
 #define FALLBACK_PRIORITY 9
 #define FALLBACK_ATTEMPTS 3
+#define FALLBACK_STRETCH  3.0
 
-/* Find a job. */
+/* Returns the job with an id, or NULL. */
 struct wl_job *wl_find_job(const struct wl *w, const char *id)
 {
 	return g_hash_table_lookup(w->jobs, id);
@@ -17,7 +18,7 @@
 	return wl_find_job(w, id) != NULL;
 }
 
-/* What one task of a step takes; a filler's cores are not reserved. */
+/* Returns the resources that one task of a step reserves; a filler task reserves no cores. */
 struct wl_resources task_need(const struct wl_step *s)
 {
 	return (struct wl_resources){.cores_m = s->filler ? 0 : s->cores_m,
@@ -25,7 +26,7 @@
 		.accelerators = s->accelerators};
 }
 
-/* The task's name on a worker: JOB.OCCURRENCE.STEP.INDEX. */
+/* Returns the task's name on workers, JOB.OCCURRENCE.STEP.INDEX. The caller frees it. */
 char *task_name(const struct wl_task *t)
 {
 	char *out;
@@ -35,30 +36,34 @@
 	return out;
 }
 
-/* How many occurrences a job has. */
-static uint32_t occurrences_of(const struct wl_job *j)
+/* Returns the total number of occurrences of a job, due or not. */
+static uint32_t occurrence_count(const struct wl_job *j)
 {
 	return MAX(j->spec.repetitions, 1);
 }
 
-/* When an occurrence is due, in wall nanoseconds; a job without times is due at once. */
-static int64_t due_at(const struct wl_job *j, uint32_t k)
+/*
+ * Returns when an occurrence is due, in wall clock nanoseconds. A job without a schedule is due
+ * immediately.
+ */
+static int64_t occurrence_due_at(const struct wl_job *j, uint32_t occurrence)
 {
 	if (j->spec.repetitions == 0)
 		return 0;
-	return (j->spec.start_at_ms + (int64_t)k * j->spec.interval_ms) * NSEC_PER_MSEC;
+	return (j->spec.start_at_ms + (int64_t)occurrence * j->spec.interval_ms) *
+	       NSEC_PER_MSEC;
 }
 
-/* When the next occurrence is due, or 0 where none is left. */
+/* Returns when the next occurrence is due, or 0 if there is none. */
 int64_t job_next_due(const struct wl_job *j)
 {
-	if (wl_state_ended(j->state) || j->occurrences_len >= occurrences_of(j))
+	if (wl_state_ended(j->state) || j->occurrences_len >= occurrence_count(j))
 		return 0;
-	return due_at(j, j->occurrences_len);
+	return occurrence_due_at(j, j->occurrences_len);
 }
 
-/* Make the units of the next occurrence. */
-static void open_next(struct wl_job *j, int64_t now)
+/* Creates the units and tasks of the next occurrence. */
+static void open_next_occurrence(struct wl_job *j, int64_t now)
 {
 	uint32_t k = j->occurrences_len;
 	struct wl_unit *units = xcalloc(j->spec.steps_len, sizeof(*units));
@@ -85,15 +90,15 @@
 	}
 }
 
-/* Open the occurrences that are due. */
+/* Creates the units of all occurrences that have become due. */
 void job_open_due_occurrences(struct wl_job *j, int64_t now, int64_t wall)
 {
-	while (!wl_state_ended(j->state) && j->occurrences_len < occurrences_of(j) &&
-		due_at(j, j->occurrences_len) <= wall)
-		open_next(j, now);
+	while (!wl_state_ended(j->state) && j->occurrences_len < occurrence_count(j) &&
+		occurrence_due_at(j, j->occurrences_len) <= wall)
+		open_next_occurrence(j, now);
 }
 
-/* Whether all steps that a unit waits for are done. */
+/* Whether all steps that a unit depends on are done. */
 bool unit_dependencies_met(const struct wl_unit *u)
 {
 	const struct wl_unit *units = u->job->occurrences[u->occurrence];
@@ -105,7 +110,11 @@
 	return true;
 }
 
-/* Take the terms of the queue from the configuration. */
+/*
+ * Copies the queue's settings from the configuration. If the queue has been removed, the job
+ * keeps its last settings, or gets the fallback settings if it never had any, and uses the
+ * service of its spec.
+ */
 void job_update_settings(struct wl_job *j)
 {
 	const struct wl_queue *q = wl_config_queue(j->wl->config, j->spec.queue);
@@ -114,7 +123,7 @@
 		if (j->service == NULL || j->attempts_max == 0) {
 			j->priority = FALLBACK_PRIORITY;
 			j->attempts_max = FALLBACK_ATTEMPTS;
-			j->stretch = 3.0;
+			j->stretch = FALLBACK_STRETCH;
 		}
 		j->service = j->spec.service;
 		return;
@@ -127,15 +136,18 @@
 	j->approval = q->approval;
 }
 
-/* Say that a job's progress has to be stored. */
+/* Starts a new version of a job's progress and requests that it be stored. */
 void job_dirty(struct wl_job *j)
 {
 	j->version++;
 	j->wl->out.dirty(j->wl->out.arg, j->spec.id);
 }
 
-/* A task that may run on a node which has not reported yet waits for that. */
-static void hold_task(struct wl_task *t, const struct wl_mark *m)
+/*
+ * Marks a task as unconfirmed if the node it was placed on has not reported yet: it may be
+ * running there.
+ */
+static void mark_unconfirmed(struct wl_task *t, const struct wl_mark *m)
 {
 	const struct wl_node *n = node_find(t->unit->job->wl, m->node);
 
@@ -147,7 +159,7 @@
 	t->unit->waiting--;
 }
 
-/* Take one stored mark into a job whose occurrence is open. */
+/* Applies a stored mark to its unit or task; the occurrence must have been opened. */
 static void apply_mark(struct wl_job *j, const struct wl_mark *m)
 {
 	struct wl_unit *u;
@@ -180,7 +192,7 @@
 		g_strlcpy(u->tasks[m->index].checkpoint, m->checkpoint,
 			sizeof(u->tasks[m->index].checkpoint));
 	if (m->node != NULL && !m->done)
-		hold_task(&u->tasks[m->index], m);
+		mark_unconfirmed(&u->tasks[m->index], m);
 	if (m->done && u->tasks[m->index].phase != TASK_DONE) {
 		u->tasks[m->index].phase = TASK_DONE;
 		u->done++;
@@ -189,7 +201,7 @@
 	}
 }
 
-/* Take in a job: a new one, or one with stored progress. */
+/* Adds a new job, or a stored one with its progress. A job that is already known is ignored. */
 void wl_job_add(struct wl *w, int64_t now, int64_t wall, const struct wl_spec *spec,
 	const struct wl_progress *p)
 {
@@ -214,15 +226,15 @@
 	j->state = p != NULL ? p->state : WL_QUEUED;
 	job_open_due_occurrences(j, now, wall);
 	for (uint32_t i = 0; p != NULL && i < p->marks_len; i++) {
-		/* Its progress is stored, so it was due, whatever the clock says now. */
+		/* With stored progress it was due, even if the clock is earlier now. */
 		while (p->marks[i].occurrence >= j->occurrences_len &&
-			p->marks[i].occurrence < occurrences_of(j))
-			open_next(j, now);
+			p->marks[i].occurrence < occurrence_count(j))
+			open_next_occurrence(j, now);
 		apply_mark(j, &p->marks[i]);
 	}
 }
 
-/* End a job: stop what runs, and have the end stored. */
+/* Ends a job: stops its runs and requests that the final state be stored. */
 void job_finish(
 	struct wl_job *j, int64_t now, int64_t wall, enum wl_state state, const char *why)
 {
@@ -237,7 +249,7 @@
 	job_dirty(j);
 }
 
-/* Cancel a job; one that has ended stays as it is. */
+/* Cancels a job unless it has ended. */
 void wl_job_cancel(struct wl *w, int64_t now, int64_t wall, const char *id)
 {
 	struct wl_job *j = wl_find_job(w, id);
@@ -246,8 +258,8 @@
 		job_finish(j, now, wall, WL_CANCELLED, "cancelled by its caller");
 }
 
-/* Add a mark to a list, where it says anything. */
-static void add_mark(GArray *marks, const struct wl_mark *m)
+/* Appends a mark if it records a completion, failures, a checkpoint or a node. */
+static void append_mark(GArray *marks, const struct wl_mark *m)
 {
 	struct wl_mark copy = *m;
 
@@ -257,8 +269,8 @@
 		g_array_append_val(marks, copy);
 }
 
-/* Where a task may run, or NULL. */
-static char *place_of(const struct wl_task *t)
+/* Returns the name of the node on which a task may be running, or NULL. */
+static char *task_node_name(const struct wl_task *t)
 {
 	if (t->phase == TASK_DONE)
 		return NULL;
@@ -267,8 +279,8 @@
 	return t->node != NULL ? t->node->name : NULL;
 }
 
-/* Collect the marks of a unit. */
-static void unit_marks(GArray *marks, const struct wl_unit *u)
+/* Appends one mark for a gang or a completed unit, and one per task of an incomplete unit. */
+static void append_unit_marks(GArray *marks, const struct wl_unit *u)
 {
 	struct wl_mark m = {.occurrence = u->occurrence, .step = u->step_index};
 
@@ -278,7 +290,7 @@
 		m.failures = u->failures;
 		m.failed_attempt = u->failed_attempt;
 		m.checkpoint = u->tasks[0].checkpoint;
-		add_mark(marks, &m);
+		append_mark(marks, &m);
 	}
 	for (uint32_t i = 0; !u->is_done && i < u->step->count; i++) {
 		struct wl_task *t = &u->tasks[i];
@@ -288,13 +300,13 @@
 		m.failures = u->step->gang ? 0 : t->failures;
 		m.failed_attempt = t->failed_attempt;
 		m.checkpoint = u->step->gang ? NULL : t->checkpoint;
-		m.node = place_of(t);
+		m.node = task_node_name(t);
 		m.attempt = t->attempt;
-		add_mark(marks, &m);
+		append_mark(marks, &m);
 	}
 }
 
-/* A job's progress as it is stored; empty where the job is not known. */
+/* Encodes a job's progress for the store; empty if the job is unknown. */
 struct bytes wl_job_progress(struct wl *w, const char *id, uint64_t *version)
 {
 	struct wl_job *j = wl_find_job(w, id);
@@ -309,7 +321,7 @@
 		.ended_ms = j->ended_ms};
 	for (uint32_t k = 0; !wl_state_ended(j->state) && k < j->occurrences_len; k++) {
 		for (uint32_t s = 0; s < j->spec.steps_len; s++)
-			unit_marks(marks, &j->occurrences[k][s]);
+			append_unit_marks(marks, &j->occurrences[k][s]);
 	}
 	p.marks = (struct wl_mark *)marks->data;
 	p.marks_len = marks->len;
@@ -317,7 +329,7 @@
 	return fields_encode(&wl_progress_fields, &p);
 }
 
-/* Free a job that has no runs. */
+/* Frees a job; no node may refer to its tasks any more. */
 static void job_free(struct wl_job *j)
 {
 	for (uint32_t k = 0; k < j->occurrences_len; k++) {
@@ -331,8 +343,8 @@
 	free(j);
 }
 
-/* Whether a job still has a run on a worker. */
-static bool has_runs(const struct wl_job *j)
+/* Whether a job still has runs on workers. */
+static bool job_has_runs(const struct wl_job *j)
 {
 	for (uint32_t k = 0; k < j->occurrences_len; k++) {
 		for (uint32_t s = 0; s < j->spec.steps_len; s++) {
@@ -347,26 +359,26 @@
 	return false;
 }
 
-/* Ids of the ended jobs whose end is stored and that are older than the retention. */
+/* Returns the ids of ended jobs whose final state is stored and whose retention is over. */
 GPtrArray *wl_jobs_expired(struct wl *w, int64_t wall)
 {
 	GPtrArray *out = g_ptr_array_new_with_free_func(g_free);
 	struct wl_job *j;
 
 	TAILQ_FOREACH(j, &w->list, entry) {
-		if (wl_state_ended(j->state) && j->stored >= j->version && !has_runs(j) &&
+		if (wl_state_ended(j->state) && j->stored >= j->version && !job_has_runs(j) &&
 			wall - j->ended_ms * NSEC_PER_MSEC > w->limits.retention)
 			g_ptr_array_add(out, g_strdup(j->spec.id));
 	}
 	return out;
 }
 
-/* Forget an ended job without runs. */
+/* Removes an ended job; does nothing while it has runs. */
 void wl_job_forget(struct wl *w, const char *id)
 {
 	struct wl_job *j = wl_find_job(w, id);
 
-	if (j == NULL || has_runs(j))
+	if (j == NULL || job_has_runs(j))
 		return;
 	for (guint i = 0; i < w->nodes->len; i++) {
 		struct wl_node *n = w->nodes->pdata[i];
@@ -384,29 +396,32 @@
 	job_free(j);
 }
 
-/* Find the task that a name stands for, opening its occurrence where it is known to run. */
+/*
+ * Returns the task with a name, or NULL. Opens its occurrence if necessary: a worker that names
+ * the task may be running it before the occurrence is due on this coordinator's clock.
+ */
 struct wl_task *job_task(struct wl *w, const char *name, int64_t now)
 {
 	char id[WL_ID_LEN + 1];
 	unsigned int k, s, i;
-	int used = 0;
+	int parsed_len = 0;
 	struct wl_job *j;
 
 	if (name == NULL ||
-		sscanf(name, "%16[0-9a-fA-F].%u.%u.%u%n", id, &k, &s, &i, &used) != 4 ||
-		name[used] != '\0')
+		sscanf(name, "%16[0-9a-fA-F].%u.%u.%u%n", id, &k, &s, &i, &parsed_len) != 4 ||
+		name[parsed_len] != '\0')
 		return NULL;
 	j = wl_find_job(w, id);
-	if (j == NULL || s >= j->spec.steps_len || k >= occurrences_of(j))
+	if (j == NULL || s >= j->spec.steps_len || k >= occurrence_count(j))
 		return NULL;
 	while (k >= j->occurrences_len && !wl_state_ended(j->state))
-		open_next(j, now);
+		open_next_occurrence(j, now);
 	if (k >= j->occurrences_len || i >= j->spec.steps[s].count)
 		return NULL;
 	return &j->occurrences[k][s].tasks[i];
 }
 
-/* A core for one coordinator's term. */
+/* Creates a scheduler core for one coordinator term. */
 struct wl *wl_new(uint64_t term, const struct wl_limits *limits, const struct wl_callbacks *out)
 {
 	struct wl *w = xcalloc(1, sizeof(*w));
@@ -420,7 +435,7 @@
 	return w;
 }
 
-/* Free all. */
+/* Frees the core with its jobs and nodes. */
 void wl_free(struct wl *w)
 {
 	struct wl_job *j;
@@ -450,7 +465,7 @@
 	free(w);
 }
 
-/* Put another configuration in force. */
+/* Replaces the configuration and updates the settings of all jobs. */
 void wl_set_config(struct wl *w, const struct wl_config *c)
 {
 	struct wl_job *j;
