--- a/packages/workload/wl-run.c
+++ b/packages/workload/wl-run.c
@@ -3,26 +3,27 @@
 #include <inttypes.h>
 
 /*
- * Attempts of one coordinator lie above term * ATTEMPTS_PER_TERM, so that no two coordinators
- * give one number to two runs of a task.
+ * Attempt numbers reserved for each coordinator term. Attempts of a term start above
+ * (term - 1) * ATTEMPTS_PER_TERM, so that two coordinators don't give the same number to
+ * different runs of a task.
  */
 #define ATTEMPTS_PER_TERM 256
 
-/* Pauses before a task that failed is tried again. */
-#define RETRY_PAUSE	(100 * NSEC_PER_MSEC)
-#define RETRY_PAUSE_MAX (2 * NSEC_PER_SEC)
-/* A stop that has not shown an effect is sent again after this. */
-#define STOP_AGAIN NSEC_PER_SEC
+/* Retries start at once after the first failure, then after RETRY_DELAY << failures. */
+#define RETRY_DELAY	(100 * NSEC_PER_MSEC)
+#define RETRY_DELAY_MAX (2 * NSEC_PER_SEC)
+/* A stop order whose run has not ended is sent again after this. */
+#define STOP_RETRY_INTERVAL NSEC_PER_SEC
 
-/* The number after the last attempt. */
+/* Returns the number of the attempt that follows last. */
 uint32_t next_attempt(const struct wl *w, uint32_t last)
 {
-	uint32_t floor = (uint32_t)((w->term - 1) * ATTEMPTS_PER_TERM + 1);
+	uint32_t first = (uint32_t)((w->term - 1) * ATTEMPTS_PER_TERM + 1);
 
-	return MAX(last + 1, floor);
+	return MAX(last + 1, first);
 }
 
-/* Count a task's room on a node from now on. */
+/* Assigns a task to a node, which allocates the task's resources there. */
 void task_attach(struct wl_task *t, struct wl_node *n, uint32_t attempt)
 {
 	if (t->phase == TASK_WAITING)
@@ -34,7 +35,10 @@
 	TAILQ_INSERT_TAIL(&n->tasks, t, on_node);
 }
 
-/* The run is over or was never begun: the task waits, unless it is done. */
+/*
+ * Removes a task from its node after the run has ended or if it never started. The task waits
+ * again unless it is done.
+ */
 void task_detach(struct wl_task *t, int64_t now)
 {
 	if (t->node != NULL)
@@ -56,14 +60,17 @@
 	t->unit->waiting++;
 }
 
-/* It is known that a held task does not run. */
+/* Makes an unconfirmed task wait again, as it is known not to be running. */
 void task_release_unconfirmed(struct wl_task *t, int64_t now)
 {
 	if (t->phase == TASK_UNCONFIRMED)
 		task_detach(t, now);
 }
 
-/* A node has reported, or its leases have run out: what it held of a job is released. */
+/*
+ * Releases the unconfirmed tasks of a job on a node, after the node has reported or its leases
+ * have expired.
+ */
 void job_release_unconfirmed(struct wl_job *j, const struct wl_node *n, int64_t now)
 {
 	for (uint32_t k = 0; k < j->occurrences_len; k++) {
@@ -78,7 +85,7 @@
 	}
 }
 
-/* A worker confirmed that the run is there. */
+/* Records that a worker has confirmed a run. */
 void task_confirm_running(struct wl_task *t, int64_t now)
 {
 	if (t->phase != TASK_STARTING)
@@ -87,18 +94,21 @@
 	t->running_at = now;
 }
 
-/* Order a run to stop, again after a while. */
+/*
+ * Sends a stop order for a run; while the run is stopping, at most one per STOP_RETRY_INTERVAL.
+ * beneficiary is the id of the job for which the run is stopped, or NULL.
+ */
 void task_stop(struct wl_task *t, int64_t now, const char *why, const char *beneficiary)
 {
 	AUTOFREE char *name = NULL;
 	struct wl_stop_order o;
 
 	if (t->phase == TASK_PLACED) {
-		/* Never ordered: there is nothing to stop. */
+		/* The start order has not been sent, so there is no run to stop. */
 		task_detach(t, now);
 		return;
 	}
-	if (t->node == NULL || (t->stop_sent != 0 && now - t->stop_sent < STOP_AGAIN &&
+	if (t->node == NULL || (t->stop_sent != 0 && now - t->stop_sent < STOP_RETRY_INTERVAL &&
 				       t->phase == TASK_STOPPING))
 		return;
 	if (t->phase == TASK_STARTING || t->phase == TASK_RUNNING)
@@ -115,15 +125,16 @@
 }
 
 /*
- * A start that was never answered does not show in the lists: it may still be carried out. The
- * agent makes it void and answers; until then its room is held and the task runs nowhere else.
+ * Cancels a start that was never answered. The worker does not list the run, but may still
+ * execute the start. The agent invalidates the start and answers it; until then its resources
+ * stay allocated and the task is not started elsewhere.
  */
 void task_cancel_start(struct wl_task *t, int64_t now)
 {
 	AUTOFREE char *name = NULL;
 	struct wl_stop_order o;
 
-	if (t->stop_sent != 0 && now - t->stop_sent < STOP_AGAIN)
+	if (t->stop_sent != 0 && now - t->stop_sent < STOP_RETRY_INTERVAL)
 		return;
 	t->stop_sent = now;
 	name = task_name(t);
@@ -133,12 +144,12 @@
 		.attempt = t->attempt,
 		.ordinal = t->ordinal};
 	event_log(EV_TASK_STOP,
-		"task=%s attempt=%u node=%s why=\"its start was not answered\" for=-", name,
+		"task=%s attempt=%u node=%s why=\"the start was not answered\" for=-", name,
 		t->attempt, t->node->name);
 	t->unit->job->wl->out.stop(t->unit->job->wl->out.arg, t->node->name, &o);
 }
 
-/* Stop all runs of a unit. */
+/* Stops all runs of a unit. */
 void unit_stop(struct wl_unit *u, int64_t now, const char *why, const char *beneficiary)
 {
 	for (uint32_t i = 0; i < u->step->count; i++) {
@@ -148,7 +159,7 @@
 	}
 }
 
-/* Stop all runs of a job. */
+/* Stops all runs of a job. */
 void job_stop_runs(struct wl_job *j, int64_t now, const char *why)
 {
 	for (uint32_t k = 0; k < j->occurrences_len; k++) {
@@ -157,8 +168,8 @@
 	}
 }
 
-/* Whether all occurrences are open and done. */
-static bool all_done(const struct wl_job *j)
+/* Whether all occurrences of a job have been opened and completed. */
+static bool job_all_done(const struct wl_job *j)
 {
 	if (j->occurrences_len < MAX(j->spec.repetitions, 1))
 		return false;
@@ -171,8 +182,11 @@
 	return true;
 }
 
-/* A unit is done: steps behind it may have their turn, and the job may be complete. */
-static void unit_done(struct wl_unit *u, int64_t now, int64_t wall)
+/*
+ * Marks a unit as done, makes the steps that depended on it ready, and completes the job if
+ * this was its last unit.
+ */
+static void unit_complete(struct wl_unit *u, int64_t now, int64_t wall)
 {
 	struct wl_unit *units = u->job->occurrences[u->occurrence];
 
@@ -182,12 +196,12 @@
 			unit_dependencies_met(&units[s]))
 			units[s].ready_at = now;
 	}
-	if (all_done(u->job))
+	if (job_all_done(u->job))
 		job_finish(u->job, now, wall, WL_COMPLETED, "all tasks are done");
 }
 
-/* One task is done. */
-static void task_done(struct wl_task *t)
+/* Marks a task as done. */
+static void task_complete(struct wl_task *t)
 {
 	if (t->phase == TASK_DONE)
 		return;
@@ -197,46 +211,52 @@
 	t->unit->done++;
 }
 
-/* A run ended done: it counts whichever attempt it was; another run of it is stopped. */
-static void ended_done(struct wl_task *t, int64_t now, int64_t wall)
+/*
+ * Handles a successful run. The task is done whichever attempt succeeded; a run of another
+ * attempt is stopped. A gang is done when any of its members is.
+ */
+static void attempt_succeeded(struct wl_task *t, int64_t now, int64_t wall)
 {
 	struct wl_unit *u = t->unit;
 
 	if (u->is_done || u->step->long_running)
 		return;
 	if (!u->step->gang) {
-		task_done(t);
+		task_complete(t);
 		if (t->node != NULL)
-			task_stop(t, now, "another attempt is done", NULL);
+			task_stop(t, now, "another attempt succeeded", NULL);
 	}
 	for (uint32_t i = 0; u->step->gang && i < u->step->count; i++)
-		task_done(&u->tasks[i]);
+		task_complete(&u->tasks[i]);
 	if (u->done == u->step->count)
-		unit_done(u, now, wall);
+		unit_complete(u, now, wall);
 	job_dirty(u->job);
 }
 
-/* Count a failed attempt, once; the job fails with the last that it has. */
-static void ended_failed(struct wl_task *t, int64_t now, int64_t wall, uint32_t attempt)
+/*
+ * Counts a failed attempt, once. The job fails when attempts_max is reached, except for
+ * long-running tasks.
+ */
+static void attempt_failed(struct wl_task *t, int64_t now, int64_t wall, uint32_t attempt)
 {
 	struct wl_unit *u = t->unit;
 	uint32_t *failures = u->step->gang ? &u->failures : &t->failures;
-	uint32_t *counted = u->step->gang ? &u->failed_attempt : &t->failed_attempt;
+	uint32_t *last_counted = u->step->gang ? &u->failed_attempt : &t->failed_attempt;
 
-	if (u->is_done || t->phase == TASK_DONE || attempt <= *counted)
+	if (u->is_done || t->phase == TASK_DONE || attempt <= *last_counted)
 		return;
-	*counted = attempt;
+	*last_counted = attempt;
 	(*failures)++;
 	u->retry_at = *failures == 1
 			      ? now
-			      : now + MIN(RETRY_PAUSE << MIN(*failures, 8u), RETRY_PAUSE_MAX);
+			      : now + MIN(RETRY_DELAY << MIN(*failures, 8u), RETRY_DELAY_MAX);
 	if (*failures >= u->job->attempts_max && !u->step->long_running)
 		job_finish(u->job, now, wall, WL_FAILED, "a task failed as often as it may");
 	job_dirty(u->job);
 }
 
-/* Keep the newest checkpoint of a run that has ended; members of a gang share it. */
-static void keep_checkpoint(struct wl_task *t, const char *checkpoint)
+/* Saves the checkpoint of a run that has ended; the members of a gang share it. */
+static void save_checkpoint(struct wl_task *t, const char *checkpoint)
 {
 	struct wl_unit *u = t->unit;
 
@@ -250,8 +270,7 @@
 		g_strlcpy(u->tasks[i].checkpoint, checkpoint, sizeof(t->checkpoint));
 }
 
-/* Send the orders for the placed tasks of a unit whose places are stored, a worker at a time.
- */
+/* Sends the start orders of a unit's tasks whose placement is stored, one order per worker. */
 static void unit_send_starts(struct wl_unit *u, int64_t now)
 {
 	struct wl_job *j = u->job;
@@ -288,7 +307,7 @@
 	}
 }
 
-/* Send the orders that waited for a job's places to be stored. */
+/* Sends the start orders that were waiting for a job's placements to be stored. */
 void job_send_starts(struct wl_job *j, int64_t now)
 {
 	for (uint32_t k = 0; k < j->occurrences_len; k++) {
@@ -297,7 +316,10 @@
 	}
 }
 
-/* An end that a worker lists. */
+/*
+ * Handles a finished run that a worker lists. Successes and failures count for any attempt; the
+ * task is detached and its checkpoint saved only if the run is its current one.
+ */
 void wl_run_ended(
 	struct wl *w, struct wl_node *n, int64_t now, int64_t wall, const struct wl_ended *e)
 {
@@ -320,20 +342,20 @@
 			run_stats_record(t, now - t->running_at);
 		if (current)
 			task_detach(t, now);
-		ended_done(t, now, wall);
+		attempt_succeeded(t, now, wall);
 		return;
 	}
 	if (current) {
 		task_detach(t, now);
-		keep_checkpoint(t, e->checkpoint);
+		save_checkpoint(t, e->checkpoint);
 		if (*t->checkpoint != '\0')
 			job_dirty(t->unit->job);
 	}
 	if (e->how == WL_END_FAILED) {
 		node_record_failure(n, now);
 		t->avoid_node = n;
-		ended_failed(t, now, wall, e->attempt);
+		attempt_failed(t, now, wall, e->attempt);
 	}
 	if (current && t->unit->step->gang && !t->unit->is_done)
-		unit_stop(t->unit, now, "a member of the gang has ended", NULL);
+		unit_stop(t->unit, now, "a gang member has ended", NULL);
 }
