--- a/packages/workload/wl-node.c
+++ b/packages/workload/wl-node.c
@@ -3,25 +3,25 @@
 #include <inttypes.h>
 #include <math.h>
 
-/* A strike against a worker halves its weight after this time without another. */
-#define STRIKE_HALF_LIFE (8 * NSEC_PER_SEC)
-/* A worker that refused a start gets no other for a while. */
-#define REFUSED_PAUSE	(500 * NSEC_PER_MSEC)
-#define UNHEALTHY_PAUSE (1500 * NSEC_PER_MSEC)
-#define STRIKES_SUSPECT 2.0
-/* An orphaned run is told to stop again after this. */
-#define GHOST_STOP_AGAIN NSEC_PER_SEC
-
-/* Free a ghost. */
-static void ghost_free(void *arg)
+/* A worker's failure score halves in this time. */
+#define FAILURE_HALF_LIFE (8 * NSEC_PER_SEC)
+/* A worker that refused a start is not used for this long. */
+#define REFUSAL_BACKOFF	  (500 * NSEC_PER_MSEC)
+#define UNHEALTHY_BACKOFF (1500 * NSEC_PER_MSEC)
+/* Failure score from which a worker is logged as suspect. */
+#define SUSPECT_SCORE 2.0
+/* The stop order for an orphaned run is repeated after this. */
+#define ORPHAN_STOP_INTERVAL NSEC_PER_SEC
+
+static void orphan_free(void *arg)
 {
-	struct wl_orphan *g = arg;
+	struct wl_orphan *o = arg;
 
-	free(g->task);
-	free(g);
+	free(o->task);
+	free(o);
 }
 
-/* Find a node by name. */
+/* Returns the node with a name, or NULL. */
 struct wl_node *node_find(const struct wl *w, const char *name)
 {
 	for (guint i = 0; i < w->nodes->len; i++) {
@@ -43,8 +43,8 @@
 	return w->nodes->len;
 }
 
-/* Find a node or make it. */
-static struct wl_node *node_get(struct wl *w, const char *name)
+/* Returns the node with a name, creating it if necessary. */
+static struct wl_node *node_get_or_create(struct wl *w, const char *name)
 {
 	struct wl_node *n = node_find(w, name);
 
@@ -54,24 +54,30 @@
 	n->wl = w;
 	n->name = xstrdup(name);
 	n->labels = g_ptr_array_new_with_free_func(free);
-	n->orphans = g_ptr_array_new_with_free_func(ghost_free);
+	n->orphans = g_ptr_array_new_with_free_func(orphan_free);
 	n->pending_ends = g_array_new(FALSE, FALSE, sizeof(struct wl_pending_end));
 	TAILQ_INIT(&n->tasks);
 	g_ptr_array_add(w->nodes, n);
 	return n;
 }
 
-/* A node that an earlier coordinator may have used: it may run anything until it reports. */
+/*
+ * Registers a node that an earlier coordinator may have used. Until it reports, any task may be
+ * running on it.
+ */
 void wl_node_await_report(struct wl *w, int64_t now, const char *name)
 {
-	struct wl_node *n = node_get(w, name);
+	struct wl_node *n = node_get_or_create(w, name);
 
 	n->awaiting_report = true;
 	n->silent_at = now;
 }
 
-/* A node has reported, or nothing of an earlier coordinator runs there any more. */
-static void node_known(struct wl_node *n, int64_t now)
+/*
+ * Records which runs of earlier coordinators a node has, after it has reported or when none can
+ * be left. Unconfirmed tasks that were not adopted wait again.
+ */
+static void node_confirm(struct wl_node *n, int64_t now)
 {
 	struct wl_job *j;
 
@@ -82,7 +88,7 @@
 		job_release_unconfirmed(j, n, now);
 }
 
-/* All runs of a node are over, without a word on how. */
+/* Detaches all tasks of a node whose runs have ended with unknown outcomes. */
 void node_lose_tasks(struct wl_node *n, int64_t now, const char *why)
 {
 	struct wl_task *t;
@@ -94,46 +100,46 @@
 		task_detach(t, now);
 		lost++;
 		if (u->step->gang && !u->is_done)
-			unit_stop(u, now, "a member of the gang is lost", NULL);
+			unit_stop(u, now, "a gang member was lost", NULL);
 	}
 	g_ptr_array_set_size(n->orphans, 0);
 	event_log(EV_WORKER_GONE, "node=%s life=%s why=\"%s\" tasks=%u", n->name,
 		n->life ? n->life : "-", why, lost);
 }
 
-/* How much is held against a worker now. */
+/* Returns a worker's failure score, decayed to now. */
 double node_failure_score(const struct wl_node *n, int64_t now)
 {
 	if (n->failure_score <= 0)
 		return 0;
 	return n->failure_score *
-	       pow(0.5, (double)(now - n->failure_score_at) / (double)STRIKE_HALF_LIFE);
+	       pow(0.5, (double)(now - n->failure_score_at) / (double)FAILURE_HALF_LIFE);
 }
 
-/* A run failed on the worker, or it refused one. */
+/* Raises the failure score: a run failed or stalled, or the worker answered as unhealthy. */
 void node_record_failure(struct wl_node *n, int64_t now)
 {
 	n->failure_score = node_failure_score(n, now) + 1;
 	n->failure_score_at = now;
-	if (n->failure_score >= STRIKES_SUSPECT)
+	if (n->failure_score >= SUSPECT_SCORE)
 		event_log(EV_WORKER_SUSPECT, "node=%s strikes=%.1f", n->name, n->failure_score);
 }
 
-/* A run ended done there: the worker works. */
+/* Halves the failure score after a successful run. */
 void node_record_success(struct wl_node *n)
 {
 	n->failure_score /= 2;
 }
 
-/* Whether new tasks may go to a worker. */
+/* Whether a worker accepts new tasks. */
 bool node_usable(const struct wl_node *n, int64_t now)
 {
 	return n->linked && !n->draining && !n->left && !n->awaiting_report &&
 	       n->life != NULL && n->blocked_until <= now;
 }
 
-/* Replace a text. */
-static void set_text(char **to, const char *from)
+/* Replaces a string by a copy of another. */
+static void set_string(char **to, const char *from)
 {
 	if (from != NULL && *to != NULL && strcmp(*to, from) == 0)
 		return;
@@ -141,12 +147,12 @@
 	*to = xstrdup(from);
 }
 
-/* Begin another life of the worker: nothing of the one before runs. */
-static void begin_life(struct wl_node *n, int64_t now, const char *life)
+/* Resets the state of a worker whose process has started again; its earlier runs are lost. */
+static void start_new_instance(struct wl_node *n, int64_t now, const char *life)
 {
 	if (n->life != NULL)
-		node_lose_tasks(n, now, "the worker has started again");
-	set_text(&n->life, life);
+		node_lose_tasks(n, now, "the worker has restarted");
+	set_string(&n->life, life);
 	n->ends_seen = 0;
 	n->ends_stored = 0;
 	n->ends_acked = 0;
@@ -155,11 +161,11 @@
 	g_array_set_size(n->pending_ends, 0);
 }
 
-/* Take over what the report says of the worker itself. */
-static void take_identity(struct wl_node *n, int64_t now, const struct wl_report *r)
+/* Updates the worker's attributes, capacity and drain state from a report. */
+static void update_node_state(struct wl_node *n, int64_t now, const struct wl_report *r)
 {
-	set_text(&n->service, r->service);
-	set_text(&n->rack, r->rack);
+	set_string(&n->service, r->service);
+	set_string(&n->rack, r->rack);
 	g_ptr_array_set_size(n->labels, 0);
 	for (uint32_t i = 0; i < r->labels_len; i++)
 		g_ptr_array_add(n->labels, xstrdup(r->labels[i].text));
@@ -174,26 +180,33 @@
 	n->drain_until = now + (int64_t)r->leaves_in_ms * NSEC_PER_MSEC;
 }
 
-/* Process the ends that are new, and note when each will be stored. */
-static void take_ends(struct wl_node *n, int64_t now, int64_t wall, const struct wl_report *r)
+/*
+ * Handles the finished runs that have not been seen before. Each is acknowledged once the job
+ * version that includes it is stored.
+ */
+static void process_ended_runs(
+	struct wl_node *n, int64_t now, int64_t wall, const struct wl_report *r)
 {
 	for (uint32_t i = 0; i < r->ends_len; i++) {
-		struct wl_pending_end note = {.number = r->ends[i].number};
+		struct wl_pending_end pending = {.number = r->ends[i].number};
 		struct wl_task *t;
 
-		if (note.number <= n->ends_seen)
+		if (pending.number <= n->ends_seen)
 			continue;
 		wl_run_ended(n->wl, n, now, wall, &r->ends[i]);
-		n->ends_seen = note.number;
+		n->ends_seen = pending.number;
 		t = job_task(n->wl, r->ends[i].task, now);
-		note.job = t != NULL ? t->unit->job : NULL;
-		note.version = note.job != NULL ? note.job->version : 0;
-		g_array_append_val(n->pending_ends, note);
+		pending.job = t != NULL ? t->unit->job : NULL;
+		pending.version = pending.job != NULL ? pending.job->version : 0;
+		g_array_append_val(n->pending_ends, pending);
 	}
 }
 
-/* Whether a listed run may become the current run of a task that has none. */
-static bool can_adopt(const struct wl_task *t, const struct wl_run *r)
+/*
+ * Whether a listed run may become the current run of a task that has none. A gang member must
+ * not be of an older attempt than the gang.
+ */
+static bool run_adoptable(const struct wl_task *t, const struct wl_run *r)
 {
 	if (t->node != NULL || r->attempt < t->attempt ||
 		(t->phase != TASK_WAITING && t->phase != TASK_UNCONFIRMED))
@@ -203,36 +216,41 @@
 	return !t->unit->step->gang || r->attempt >= t->unit->attempt;
 }
 
-/* Keep account of a run that is not wanted, and stop it. */
-static void take_ghost(struct wl_node *n, int64_t now, const struct wl_run *r,
-	const struct wl_task *t, GPtrArray *old)
+/*
+ * Adds a run that is not the current run of its task to the node's orphans, which occupy
+ * resources until they have ended, and orders it to stop. t is NULL if the task is unknown.
+ */
+static void stop_orphan(struct wl_node *n, int64_t now, const struct wl_run *r,
+	const struct wl_task *t, GPtrArray *previous)
 {
-	struct wl_orphan *g = xcalloc(1, sizeof(*g));
-	struct wl_stop_order o;
-
-	g->task = xstrdup(r->task);
-	g->attempt = r->attempt;
-	/* Of a job that is not known its size is not either: it may fill the worker. */
-	g->need = t != NULL ? task_need(t->unit->step) : n->capacity;
-	for (guint i = 0; i < old->len; i++) {
-		const struct wl_orphan *was = old->pdata[i];
-
-		if (strcmp(was->task, g->task) == 0 && was->attempt == g->attempt)
-			g->stop_sent = was->stop_sent;
+	struct wl_orphan *orphan = xcalloc(1, sizeof(*orphan));
+	struct wl_stop_order order;
+
+	orphan->task = xstrdup(r->task);
+	orphan->attempt = r->attempt;
+	/* The size of an unknown task is unknown too: assume that it fills the worker. */
+	orphan->need = t != NULL ? task_need(t->unit->step) : n->capacity;
+	for (guint i = 0; i < previous->len; i++) {
+		const struct wl_orphan *p = previous->pdata[i];
+
+		if (strcmp(p->task, orphan->task) == 0 && p->attempt == orphan->attempt)
+			orphan->stop_sent = p->stop_sent;
 	}
-	g_ptr_array_add(n->orphans, g);
-	if (g->stop_sent != 0 && now - g->stop_sent < GHOST_STOP_AGAIN)
+	g_ptr_array_add(n->orphans, orphan);
+	if (orphan->stop_sent != 0 && now - orphan->stop_sent < ORPHAN_STOP_INTERVAL)
 		return;
-	g->stop_sent = now;
-	o = (struct wl_stop_order){
-		.term = n->wl->term, .life = n->life, .task = g->task, .attempt = g->attempt};
+	orphan->stop_sent = now;
+	order = (struct wl_stop_order){.term = n->wl->term,
+		.life = n->life,
+		.task = orphan->task,
+		.attempt = orphan->attempt};
 	event_log(EV_TASK_STOP, "task=%s attempt=%u node=%s why=\"not the current run\" for=-",
-		g->task, g->attempt, n->name);
-	n->wl->out.stop(n->wl->out.arg, n->name, &o);
+		orphan->task, orphan->attempt, n->name);
+	n->wl->out.stop(n->wl->out.arg, n->name, &order);
 }
 
-/* Note what a run has saved: it has to outlive this process, but not at once. */
-static void take_checkpoint(struct wl_task *t, const char *checkpoint)
+/* Records a run's checkpoint; a later pass has it stored with the job's progress. */
+static void record_checkpoint(struct wl_task *t, const char *checkpoint)
 {
 	if (checkpoint == NULL || *checkpoint == '\0' || !t->unit->step->checkpoints ||
 		strcmp(checkpoint, t->checkpoint) == 0)
@@ -241,17 +259,20 @@
 	t->unit->job->checkpoints_unsaved = true;
 }
 
-/* Bring the runs that the worker lists in line with the tasks. */
-static void take_runs(struct wl_node *n, int64_t now, const struct wl_report *r)
+/*
+ * Reconciles the tasks with the runs that the worker lists: adopts runs of tasks without one,
+ * updates progress, and stops orphans and runs that should have ended.
+ */
+static void reconcile_runs(struct wl_node *n, int64_t now, const struct wl_report *r)
 {
-	g_autoptr(GPtrArray) old = n->orphans;
+	g_autoptr(GPtrArray) previous = n->orphans;
 
-	n->orphans = g_ptr_array_new_with_free_func(ghost_free);
+	n->orphans = g_ptr_array_new_with_free_func(orphan_free);
 	for (uint32_t i = 0; i < r->runs_len; i++) {
 		const struct wl_run *run = &r->runs[i];
 		struct wl_task *t = job_task(n->wl, run->task, now);
 
-		if (t != NULL && can_adopt(t, run)) {
+		if (t != NULL && run_adoptable(t, run)) {
 			task_attach(t, n, run->attempt);
 			t->phase = TASK_STARTING;
 			t->placed_at = now;
@@ -260,22 +281,26 @@
 				run->task, run->attempt, n->name);
 		}
 		if (t == NULL || t->node != n || t->attempt != run->attempt) {
-			take_ghost(n, now, run, t, old);
+			stop_orphan(n, now, run, t, previous);
 			continue;
 		}
 		task_confirm_running(t, now);
 		t->seen_serial = n->report_serial;
 		task_record_progress(t, now, run->percent);
 		t->figure = run->figure;
-		take_checkpoint(t, run->checkpoint);
+		record_checkpoint(t, run->checkpoint);
 		if (t->phase == TASK_STOPPING ||
 			(t->phase == TASK_DONE && !t->unit->step->gang))
 			task_stop(t, now, "still listed", NULL);
 	}
 }
 
-/* Tasks that should be listed and are not have ended without a word. */
-static void drop_missing(struct wl_node *n, int64_t now, const struct wl_report *r)
+/*
+ * Handles tasks that the worker doesn't list although the lists cover their starts. A run that
+ * was confirmed has ended with an unknown outcome; a start that was never confirmed is
+ * cancelled.
+ */
+static void handle_missing_runs(struct wl_node *n, int64_t now, const struct wl_report *r)
 {
 	struct wl_task *t = TAILQ_FIRST(&n->tasks);
 
@@ -295,7 +320,7 @@
 				t->attempt, n->name);
 			task_detach(t, now);
 			if (u->step->gang && !u->is_done) {
-				unit_stop(u, now, "a member of the gang is missing", NULL);
+				unit_stop(u, now, "a gang member is missing", NULL);
 				next = TAILQ_FIRST(&n->tasks);
 			}
 		}
@@ -303,36 +328,36 @@
 	}
 }
 
-/* A worker's state and lists, whole. */
+/* Handles a report, which holds the complete state and lists of a worker. */
 void wl_node_report(struct wl *w, int64_t now, int64_t wall, const struct wl_report *r)
 {
 	struct wl_node *n;
 	struct wl_resources capacity;
 	bool was_usable;
-	bool was_up;
+	bool was_connected;
 
 	if (r->node == NULL || r->life == NULL)
 		return;
-	n = node_get(w, r->node);
-	was_up = n->linked && n->life != NULL;
+	n = node_get_or_create(w, r->node);
+	was_connected = n->linked && n->life != NULL;
 	was_usable = node_usable(n, now);
 	capacity = n->capacity;
 	if (n->life == NULL || strcmp(n->life, r->life) != 0)
-		begin_life(n, now, r->life);
-	take_identity(n, now, r);
+		start_new_instance(n, now, r->life);
+	update_node_state(n, now, r);
 	n->linked = true;
 	n->silent_at = now;
 	n->report_serial++;
-	take_ends(n, now, wall, r);
-	take_runs(n, now, r);
-	node_known(n, now);
-	drop_missing(n, now, r);
+	process_ended_runs(n, now, wall, r);
+	reconcile_runs(n, now, r);
+	node_confirm(n, now);
+	handle_missing_runs(n, now, r);
 	if (r->left && TAILQ_FIRST(&n->tasks) != NULL)
 		node_lose_tasks(n, now, "the worker has left");
 	if (node_usable(n, now) != was_usable ||
 		memcmp(&capacity, &n->capacity, sizeof(capacity)) != 0)
 		w->changed = true;
-	if (!was_up)
+	if (!was_connected)
 		event_log(EV_WORKER_UP,
 			"node=%s life=%s rack=%s cores_m=%u memory_mb=%u accelerators=%u "
 			"runs=%u",
@@ -340,7 +365,10 @@
 			n->capacity.memory_mb, n->capacity.accelerators, r->runs_len);
 }
 
-/* A node's agent is out of reach: what runs there is over only after silence_max. */
+/*
+ * Marks a node as unreachable. Its runs are known to have ended only after silence_max, when
+ * their leases have expired.
+ */
 void wl_node_unreachable(struct wl *w, int64_t now, const char *name)
 {
 	struct wl_node *n = node_find(w, name);
@@ -353,7 +381,10 @@
 		n->life ? n->life : "-", w->limits.silence_max / NSEC_PER_MSEC);
 }
 
-/* Nodes that nothing runs on any more and that have been silent for long. */
+/*
+ * Returns the names of nodes on which nothing can be running any more: those that have left,
+ * and those unreachable for longer than silence_max, whose tasks are detached here.
+ */
 GPtrArray *wl_nodes_expired(struct wl *w, int64_t now)
 {
 	GPtrArray *out = g_ptr_array_new_with_free_func(g_free);
@@ -370,17 +401,17 @@
 		if (n->linked || now - n->silent_at <= w->limits.silence_max)
 			continue;
 		if (n->awaiting_report || TAILQ_FIRST(&n->tasks) != NULL || n->orphans->len > 0)
-			node_lose_tasks(n, now, "its leases have run out");
+			node_lose_tasks(n, now, "the leases have expired");
 		if (n->awaiting_report || n->life != NULL)
 			g_ptr_array_add(out, g_strdup(n->name));
-		node_known(n, now);
+		node_confirm(n, now);
 		free(n->life);
 		n->life = NULL;
 	}
 	return out;
 }
 
-/* A worker answered to a start. */
+/* Handles a worker's answer to a start order; outdated answers are ignored. */
 void wl_node_answer(struct wl *w, int64_t now, const struct wl_answer_note *a)
 {
 	struct wl_task *t = job_task(w, a->task, now);
@@ -402,20 +433,20 @@
 	switch (a->answer) {
 	case WL_ANSWER_UNHEALTHY:
 		node_record_failure(n, now);
-		n->blocked_until = now + UNHEALTHY_PAUSE;
+		n->blocked_until = now + UNHEALTHY_BACKOFF;
 		break;
 	case WL_ANSWER_REFUSED_ROOM:
 	case WL_ANSWER_REFUSED_OTHER:
-		n->blocked_until = now + REFUSED_PAUSE;
+		n->blocked_until = now + REFUSAL_BACKOFF;
 		break;
 	default:
 		break;
 	}
 	if (t->unit->step->gang)
-		unit_stop(t->unit, now, "a member of the gang was refused", NULL);
+		unit_stop(t->unit, now, "a gang member was refused", NULL);
 }
 
-/* The versions up to this one are stored. */
+/* Records that a version of a job is stored, and sends the starts that waited for it. */
 void wl_job_stored(struct wl *w, int64_t now, const char *id, uint64_t version)
 {
 	struct wl_job *j = wl_find_job(w, id);
@@ -426,25 +457,28 @@
 	job_send_starts(j, now);
 }
 
-/* Up to which end all is stored; true where the worker has not been told so far. */
+/*
+ * Determines up to which number the finished runs of a node are stored. Returns true if this
+ * has not been acknowledged to the worker yet.
+ */
 bool wl_node_ends_stored(struct wl *w, const char *name, const char **life, uint64_t *number)
 {
 	struct wl_node *n = node_find(w, name);
-	guint done = 0;
+	guint stored_count = 0;
 
 	if (n == NULL || n->life == NULL)
 		return false;
-	while (done < n->pending_ends->len) {
+	while (stored_count < n->pending_ends->len) {
 		const struct wl_pending_end *e =
-			&g_array_index(n->pending_ends, struct wl_pending_end, done);
+			&g_array_index(n->pending_ends, struct wl_pending_end, stored_count);
 
 		if (e->job != NULL && e->job->stored < e->version)
 			break;
 		n->ends_stored = e->number;
-		done++;
+		stored_count++;
 	}
-	if (done > 0)
-		g_array_remove_range(n->pending_ends, 0, done);
+	if (stored_count > 0)
+		g_array_remove_range(n->pending_ends, 0, stored_count);
 	if (n->ends_stored <= n->ends_acked)
 		return false;
 	n->ends_acked = n->ends_stored;
