--- a/packages/workload/wl-spec.c
+++ b/packages/workload/wl-spec.c
@@ -14,7 +14,7 @@
 	return s < ARRAY_LEN(state_names) ? state_names[s] : "unknown";
 }
 
-/* Whether a state is final. */
+/* Whether a job in this state has ended: completed, failed or cancelled. */
 bool wl_state_ended(uint32_t s)
 {
 	return s >= WL_COMPLETED;
@@ -31,16 +31,16 @@
 }
 
 /* Whether an id is 16 hexadecimal digits. */
-static bool id_ok(const char *id)
+static bool id_valid(const char *id)
 {
 	return id != NULL && strlen(id) == WL_ID_LEN &&
 	       strspn(id, "0123456789abcdefABCDEF") == WL_ID_LEN;
 }
 
-/* Check one step; number is its place in the job. */
-static bool step_check(const struct wl_step *s, uint32_t number, GError **err)
+/* Validates one step; number is its index in the job. */
+static bool check_step(const struct wl_step *s, uint32_t number, GError **err)
 {
-	const char *texts[] = {s->label, s->data_rack, s->image};
+	const char *names[] = {s->label, s->data_rack, s->image};
 
 	if (s->count == 0 || s->count > WL_TASKS_MAX) {
 		error_set(err, ERR_INVALID, "step %u: its count must be 1 to %d", number,
@@ -54,8 +54,8 @@
 			return false;
 		}
 	}
-	for (size_t i = 0; i < ARRAY_LEN(texts); i++) {
-		if (texts[i] != NULL && strlen(texts[i]) > WL_NAME_MAX) {
+	for (size_t i = 0; i < ARRAY_LEN(names); i++) {
+		if (names[i] != NULL && strlen(names[i]) > WL_NAME_MAX) {
 			error_set(err, ERR_INVALID, "step %u: a name is too long", number);
 			return false;
 		}
@@ -63,12 +63,12 @@
 	return true;
 }
 
-/* Whether a job can be taken; the error names the first fault. */
+/* Validates a submitted job; the error describes the first violation. */
 bool wl_spec_check(const struct wl_spec *s, GError **err)
 {
 	uint64_t tasks = 0;
 
-	if (!id_ok(s->id)) {
+	if (!id_valid(s->id)) {
 		error_set(err, ERR_INVALID, "an id is 16 hexadecimal digits");
 		return false;
 	}
@@ -81,7 +81,7 @@
 		return false;
 	}
 	for (uint32_t i = 0; i < s->steps_len; i++) {
-		if (!step_check(&s->steps[i], i, err))
+		if (!check_step(&s->steps[i], i, err))
 			return false;
 		tasks += s->steps[i].count;
 	}
