--- a/packages/workload/wl-config.c
+++ b/packages/workload/wl-config.c
@@ -23,7 +23,7 @@
 	free(o);
 }
 
-/* An empty configuration. */
+/* Returns an empty configuration. */
 struct wl_config *wl_config_new(void)
 {
 	struct wl_config *c = xcalloc(1, sizeof(*c));
@@ -35,14 +35,14 @@
 	return c;
 }
 
-/* Add a queue; takes it over. */
+/* Adds a queue and takes ownership of it. */
 void wl_config_add_queue(struct wl_config *c, struct wl_queue *q)
 {
 	g_ptr_array_add(c->queues, q);
 	g_hash_table_replace(c->by_name, q->name, q);
 }
 
-/* Add an organisation with its keys; takes it over. */
+/* Adds an organisation with its keys and takes ownership of it. */
 void wl_config_add_org(struct wl_config *c, struct wl_org *o)
 {
 	g_ptr_array_add(c->orgs, o);
@@ -61,42 +61,45 @@
 	free(c);
 }
 
-/* Find a queue by name. */
+/* Returns the queue with a name, or NULL. */
 const struct wl_queue *wl_config_queue(const struct wl_config *c, const char *name)
 {
 	return c != NULL && name != NULL ? g_hash_table_lookup(c->by_name, name) : NULL;
 }
 
-/* Find the queue of a host whose prefix is the longest that the path begins with. */
+/*
+ * Returns the queue of a host with the longest prefix that matches the path, or NULL. The port
+ * in host is ignored.
+ */
 const struct wl_queue *wl_config_route(
 	const struct wl_config *c, const char *host, const char *path)
 {
-	const struct wl_queue *best = NULL;
-	size_t best_len = 0;
+	const struct wl_queue *match = NULL;
+	size_t match_len = 0;
 	size_t host_len = host != NULL ? strcspn(host, ":") : 0;
 
 	for (guint i = 0; i < c->queues->len; i++) {
 		const struct wl_queue *q = c->queues->pdata[i];
 		size_t len = strlen(q->prefix);
 
-		if (len < best_len || strncmp(path, q->prefix, len) != 0)
+		if (len < match_len || strncmp(path, q->prefix, len) != 0)
 			continue;
 		if (strlen(q->host) != host_len ||
 			g_ascii_strncasecmp(host, q->host, host_len) != 0)
 			continue;
-		best = q;
-		best_len = len;
+		match = q;
+		match_len = len;
 	}
-	return best;
+	return match;
 }
 
-/* Whose key it is, or NULL. */
+/* Returns the organisation that an API key belongs to, or NULL. */
 const struct wl_org *wl_config_key(const struct wl_config *c, const char *key)
 {
 	return key != NULL ? g_hash_table_lookup(c->by_key, key) : NULL;
 }
 
-/* Find an organisation by name. */
+/* Returns the organisation with a name, or NULL. */
 const struct wl_org *wl_config_org(const struct wl_config *c, const char *name)
 {
 	for (guint i = 0; c != NULL && name != NULL && i < c->orgs->len; i++) {
