--- a/packages/workload/wl-message.c
+++ b/packages/workload/wl-message.c
@@ -4,7 +4,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* The field tables of the structs that are stored or sent; fields may only be added at the end.
+/*
+ * Field tables of the structs that are stored or sent. Fields are encoded in table order, so
+ * new fields may only be appended.
  */
 
 static const struct field wl_step_ref_list[] = {U32(wl_step_ref, step)};
@@ -199,7 +201,8 @@
 };
 static const struct field_table wl_store_reply_fields = TABLE(wl_store_reply);
 
-static const struct field_table *const tables[WL_MSG_END] = {
+/* Field table of each message kind. */
+static const struct field_table *const msg_tables[WL_MSG_END] = {
 	[WL_MSG_HELLO] = &wl_hello_fields,
 	[WL_MSG_LEAD_BEAT] = &wl_lead_beat_fields,
 	[WL_MSG_REPORT] = &wl_report_fields,
@@ -213,10 +216,10 @@
 	[WL_MSG_STORE_REPLY] = &wl_store_reply_fields,
 };
 
-/* Encode a message: its kind as one byte, then its fields. */
+/* Encodes a message: its kind as one byte, then its fields. The caller frees the result. */
 struct bytes wl_msg_encode(const struct wl_msg *m)
 {
-	struct bytes body = fields_encode(tables[m->kind], &m->hello);
+	struct bytes body = fields_encode(msg_tables[m->kind], &m->hello);
 	struct bytes out = {.len = body.len + 1};
 	uint8_t *data = xmalloc(out.len);
 
@@ -227,22 +230,22 @@
 	return out;
 }
 
-/* Decode a message into a zeroed struct. */
+/* Decodes a message into m, which must be zeroed. */
 bool wl_msg_decode(struct wl_msg *m, const void *data, size_t len, GError **err)
 {
 	const uint8_t *p = data;
 
-	if (len < 1 || p[0] >= WL_MSG_END || tables[p[0]] == NULL) {
-		error_set(err, ERR_PROTOCOL, "a message of an unknown kind");
+	if (len < 1 || p[0] >= WL_MSG_END || msg_tables[p[0]] == NULL) {
+		error_set(err, ERR_PROTOCOL, "unknown message kind");
 		return false;
 	}
 	m->kind = (enum wl_msg_kind)p[0];
-	return fields_decode(tables[m->kind], &m->hello, p + 1, len - 1, err);
+	return fields_decode(msg_tables[m->kind], &m->hello, p + 1, len - 1, err);
 }
 
-/* Free what a message holds. */
+/* Frees the contents of a message, but not the message itself. */
 void wl_msg_clear(struct wl_msg *m)
 {
-	if (m->kind < WL_MSG_END && tables[m->kind] != NULL)
-		fields_clear(tables[m->kind], &m->hello);
+	if (m->kind < WL_MSG_END && msg_tables[m->kind] != NULL)
+		fields_clear(msg_tables[m->kind], &m->hello);
 }
