--- a/packages/workload/wl-node.c
+++ b/packages/workload/wl-node.c
@@ -74,10 +74,10 @@
 }
 
 /*
- * Records which runs of earlier coordinators a node has, after it has reported or when none can
- * be left. Unconfirmed tasks that were not adopted wait again.
+ * Ends the wait for a node's report, after it has reported or when no run of an earlier
+ * coordinator can be left there. Unconfirmed tasks that were not adopted wait again.
  */
-static void node_confirm(struct wl_node *n, int64_t now)
+static void node_release_unconfirmed(struct wl_node *n, int64_t now)
 {
 	struct wl_job *j;
 
@@ -249,7 +249,10 @@
 	n->wl->out.stop(n->wl->out.arg, n->name, &order);
 }
 
-/* Records a run's checkpoint; a later pass has it stored with the job's progress. */
+/*
+ * Records a run's checkpoint. It must survive this process, but need not be stored at once: a
+ * later pass requests that.
+ */
 static void record_checkpoint(struct wl_task *t, const char *checkpoint)
 {
 	if (checkpoint == NULL || *checkpoint == '\0' || !t->unit->step->checkpoints ||
@@ -350,7 +353,7 @@
 	n->report_serial++;
 	process_ended_runs(n, now, wall, r);
 	reconcile_runs(n, now, r);
-	node_confirm(n, now);
+	node_release_unconfirmed(n, now);
 	handle_missing_runs(n, now, r);
 	if (r->left && TAILQ_FIRST(&n->tasks) != NULL)
 		node_lose_tasks(n, now, "the worker has left");
@@ -404,7 +407,7 @@
 			node_lose_tasks(n, now, "the leases have expired");
 		if (n->awaiting_report || n->life != NULL)
 			g_ptr_array_add(out, g_strdup(n->name));
-		node_confirm(n, now);
+		node_release_unconfirmed(n, now);
 		free(n->life);
 		n->life = NULL;
 	}
