--- a/packages/coordination/agent-core.c
+++ b/packages/coordination/agent-core.c
@@ -4,35 +4,36 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define VOIDS_MAX     4096
-#define STOP_PATIENCE (2 * NSEC_PER_SEC)
+#define VOIDED_JOBS_MAX 4096
+/* STOP_NOW is sent again at this interval until the task has ended. */
+#define STOP_RETRY_INTERVAL_NS (2 * NSEC_PER_SEC)
 
-COUNTER(refused_terms, "damaskpath_agent_stale_terms_total",
+COUNTER(stale_messages, "damaskpath_agent_stale_terms_total",
 	"Messages refused because their term was lower than one seen.");
 COUNTER(members_started, "damaskpath_agent_members_started_total", "Members started.");
-COUNTER(members_refused, "damaskpath_agent_reservations_refused_total",
+COUNTER(reservations_refused, "damaskpath_agent_reservations_refused_total",
 	"Reservations refused.");
-COUNTER(gangs_cut, "damaskpath_agent_gang_leases_lost_total",
+COUNTER(gang_leases_lost, "damaskpath_agent_gang_leases_lost_total",
 	"Members stopped because another member of the gang was not heard of.");
 
 /*
- * voids remembers which attempts must never start here: a late or repeated message of a
- * voided attempt finds it there. It is bounded; what falls out is old enough that its term
- * or reservation has ended.
+ * An attempt is voided when it must never start here; late or repeated messages are checked
+ * against voided_attempts. The table holds at most VOIDED_JOBS_MAX jobs: an entry that is
+ * dropped is old enough that its term or reservation has ended.
  */
 struct agent_core {
 	struct agent_ports ports;
-	uint64_t term;
+	uint64_t term; /* highest term seen */
 	bool connected;
 	bool draining;
-	bool was_serving;
+	bool reported_serving; /* as in the last report */
 	int64_t last_tick;
 	struct agent_upstream upstream;
-	GHashTable *members;
-	size_t live;
-	uint32_t busy;
-	GHashTable *voids;
-	GQueue void_order;
+	GHashTable *members; /* job id -> struct agent_member */
+	size_t live_members;
+	uint32_t busy_accelerators;
+	GHashTable *voided_attempts; /* job id -> highest voided attempt */
+	GQueue voided_jobs;	     /* keys of voided_attempts, oldest first */
 };
 
 /* Free a member. */
@@ -46,7 +47,7 @@
 	free(m);
 }
 
-/* Free what an announcement holds. */
+/* Free the fields of an announcement and reset it. */
 static void upstream_clear(struct agent_upstream *u)
 {
 	free(u->addr);
@@ -56,15 +57,15 @@
 	memset(u, 0, sizeof(*u));
 }
 
-/* An agent that knows no upstream and no term. */
+/* Create an agent that knows no upstream and no term yet. */
 struct agent_core *agent_core_new(const struct agent_ports *ports)
 {
 	struct agent_core *a = xcalloc(1, sizeof(*a));
 
 	a->ports = *ports;
 	a->members = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, member_free);
-	a->voids = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, NULL);
-	g_queue_init(&a->void_order);
+	a->voided_attempts = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, NULL);
+	g_queue_init(&a->voided_jobs);
 	return a;
 }
 
@@ -76,42 +77,42 @@
 	if (a == NULL)
 		return;
 	g_hash_table_destroy(a->members);
-	g_hash_table_destroy(a->voids);
-	while ((job = g_queue_pop_head(&a->void_order)) != NULL)
+	g_hash_table_destroy(a->voided_attempts);
+	while ((job = g_queue_pop_head(&a->voided_jobs)) != NULL)
 		free(job);
 	upstream_clear(&a->upstream);
 	free(a);
 }
 
-/* The highest term seen. */
+/* Return the highest term seen. */
 uint64_t agent_core_term(const struct agent_core *a)
 {
 	return a->term;
 }
 
-/* What the upstream announced last. */
+/* Return what the upstream announced last. */
 const struct agent_upstream *agent_core_upstream(const struct agent_core *a)
 {
 	return &a->upstream;
 }
 
-/* Never let an attempt, or an earlier one, start here. */
+/* Make sure that an attempt and all earlier attempts of the job never start here. */
 static void void_attempt(struct agent_core *a, const char *job, uint32_t attempt)
 {
 	gpointer key;
 	gpointer value;
 
-	if (g_hash_table_lookup_extended(a->voids, job, &key, &value)) {
+	if (g_hash_table_lookup_extended(a->voided_attempts, job, &key, &value)) {
 		if (GPOINTER_TO_UINT(value) < attempt)
-			g_hash_table_insert(a->voids, key, GUINT_TO_POINTER(attempt));
+			g_hash_table_insert(a->voided_attempts, key, GUINT_TO_POINTER(attempt));
 		return;
 	}
 	key = xstrdup(job);
-	g_hash_table_insert(a->voids, key, GUINT_TO_POINTER(attempt));
-	g_queue_push_tail(&a->void_order, key);
-	while (a->void_order.length > VOIDS_MAX) {
-		key = g_queue_pop_head(&a->void_order);
-		g_hash_table_remove(a->voids, key);
+	g_hash_table_insert(a->voided_attempts, key, GUINT_TO_POINTER(attempt));
+	g_queue_push_tail(&a->voided_jobs, key);
+	while (a->voided_jobs.length > VOIDED_JOBS_MAX) {
+		key = g_queue_pop_head(&a->voided_jobs);
+		g_hash_table_remove(a->voided_attempts, key);
 		free(key);
 	}
 }
@@ -122,13 +123,13 @@
 	return m->record.state != MEMBER_ENDED;
 }
 
-/* Number of members that are not ended. */
+/* Return the number of members that have not ended. */
 size_t agent_core_live_members(const struct agent_core *a)
 {
-	return a->live;
+	return a->live_members;
 }
 
-/* Number of ended members that the coordinator has not acknowledged. */
+/* Return the number of ended members that the coordinator has not acknowledged. */
 size_t agent_core_unacked_ends(const struct agent_core *a)
 {
 	GHashTableIter it;
@@ -144,26 +145,26 @@
 	return n;
 }
 
-/* Accelerators of the members that are not ended. */
+/* Return the number of accelerators held by members that have not ended. */
 uint32_t agent_core_busy_accelerators(const struct agent_core *a)
 {
-	return a->busy;
+	return a->busy_accelerators;
 }
 
-/* Whether new members are taken. */
+/* Whether new members are accepted. */
 bool agent_core_serving(const struct agent_core *a, int64_t now)
 {
 	return a->upstream.known && !a->upstream.leaving && !a->draining &&
 	       now < a->upstream.expires;
 }
 
-/* Tell the coordinator what the upstream offers. */
+/* Report the capacity of the upstream to the coordinator. */
 void agent_core_report(struct agent_core *a, int64_t now)
 {
 	const struct agent_upstream *u = &a->upstream;
 	struct msg m = {.kind = MSG_REPORT};
 
-	a->was_serving = agent_core_serving(a, now);
+	a->reported_serving = agent_core_serving(a, now);
 	if (!u->known)
 		return;
 	m.report = (struct msg_report){
@@ -176,13 +177,13 @@
 		.connections = u->connections,
 		.cores = u->cores,
 		.memory_mb = u->memory_mb,
-		.serving = a->was_serving,
+		.serving = a->reported_serving,
 		.draining = a->draining || u->leaving,
 	};
 	a->ports.send(a->ports.arg, &m);
 }
 
-/* Send all members to the coordinator, the ended ones too. */
+/* Send all members to the coordinator, including those that have ended. */
 static void send_inventory(struct agent_core *a, int64_t now)
 {
 	struct msg m = {.kind = MSG_INVENTORY};
@@ -204,11 +205,11 @@
 	free(list);
 }
 
-/* A coordinator welcomed us; false where its term is out of date. */
+/* Accept a coordinator that welcomed this agent; false if its term is out of date. */
 bool agent_core_adopt_term(struct agent_core *a, int64_t now, uint64_t term)
 {
 	if (term < a->term) {
-		counter_add(&refused_terms, 1);
+		counter_add(&stale_messages, 1);
 		return false;
 	}
 	a->term = term;
@@ -218,47 +219,51 @@
 	return true;
 }
 
-/* The connection to the coordinator is gone. */
+/* Handle the loss of the connection to the coordinator. */
 void agent_core_lost_coordinator(struct agent_core *a)
 {
 	a->connected = false;
 }
 
-/* The upstream announced itself, or renewed. */
+/*
+ * Handle an announcement of the upstream or its renewal. It is reported to the coordinator if
+ * the capacity or the worker changed, or if the last report was not serving.
+ */
 void agent_core_upstream_announced(
 	struct agent_core *a, int64_t now, const struct agent_upstream *u)
 {
-	struct agent_upstream *mine = &a->upstream;
-	bool changed = !mine->known || mine->accelerators != u->accelerators ||
-		       mine->slots != u->slots || mine->cores != u->cores ||
-		       mine->connections != u->connections || mine->memory_mb != u->memory_mb ||
-		       g_strcmp0(mine->worker, u->worker) != 0 || !a->was_serving;
-
-	upstream_clear(mine);
-	*mine = *u;
-	mine->known = true;
-	mine->addr = xstrdup(u->addr);
-	mine->worker = xstrdup(u->worker);
-	mine->rack = xstrdup(u->rack);
-	mine->zone = xstrdup(u->zone);
+	struct agent_upstream *current = &a->upstream;
+	bool changed = !current->known || current->accelerators != u->accelerators ||
+		       current->slots != u->slots || current->cores != u->cores ||
+		       current->connections != u->connections ||
+		       current->memory_mb != u->memory_mb ||
+		       g_strcmp0(current->worker, u->worker) != 0 || !a->reported_serving;
+
+	upstream_clear(current);
+	*current = *u;
+	current->known = true;
+	current->addr = xstrdup(u->addr);
+	current->worker = xstrdup(u->worker);
+	current->rack = xstrdup(u->rack);
+	current->zone = xstrdup(u->zone);
 	if (changed)
 		agent_core_report(a, now);
 }
 
-/* The upstream is leaving: what runs goes on, nothing new comes. */
+/* Handle that the upstream is leaving: running members continue, no new ones are accepted. */
 void agent_core_upstream_leaving(struct agent_core *a, int64_t now)
 {
 	a->upstream.leaving = true;
 	agent_core_report(a, now);
 }
 
-/* This agent is stopping: no new work. */
+/* Accept no new members, because this agent is stopping. */
 void agent_core_drain(struct agent_core *a)
 {
 	a->draining = true;
 }
 
-/* Send how a member ended. */
+/* Send the end of a member to the coordinator. */
 static void send_ended(struct agent_core *a, const struct agent_member *mb)
 {
 	struct msg m = {.kind = MSG_ENDED};
@@ -275,8 +280,9 @@
 	a->ports.send(a->ports.arg, &m);
 }
 
-/* Send the end of an attempt that is not here and will not start. */
-static void send_never(struct agent_core *a, const char *job, uint32_t attempt, uint32_t member)
+/* Report an attempt that is unknown here, and now voided, as never started. */
+static void send_never_started(
+	struct agent_core *a, const char *job, uint32_t attempt, uint32_t member)
 {
 	struct msg m = {.kind = MSG_ENDED};
 
@@ -288,13 +294,13 @@
 	a->ports.send(a->ports.arg, &m);
 }
 
-/* A member has ended. */
+/* Mark a member as ended, void its attempt and report the end. */
 static void end_member(
 	struct agent_core *a, int64_t now, struct agent_member *mb, enum member_end end)
 {
 	if (is_live(mb)) {
-		a->live--;
-		a->busy -= mb->record.accelerators;
+		a->live_members--;
+		a->busy_accelerators -= mb->record.accelerators;
 	}
 	mb->record.state = MEMBER_ENDED;
 	mb->record.end = end;
@@ -311,7 +317,7 @@
 	return m != NULL && m->record.attempt == attempt ? m : NULL;
 }
 
-/* Answer a reservation. */
+/* Answer a reservation; reason is why it is refused, or NULL if it is confirmed. */
 static void send_reserved(struct agent_core *a, const struct msg_reserve *r, const char *reason)
 {
 	struct msg m = {.kind = MSG_RESERVED};
@@ -323,15 +329,16 @@
 		.ok = reason == NULL,
 		.reason = (char *)reason};
 	if (reason != NULL)
-		counter_add(&members_refused, 1);
+		counter_add(&reservations_refused, 1);
 	a->ports.send(a->ports.arg, &m);
 }
 
-/* Why a reservation cannot be taken; NULL if it can. */
-static const char *refusal(struct agent_core *a, int64_t now, const struct msg_reserve *r)
+/* Return why a reservation must be refused; NULL if it can be accepted. */
+static const char *refusal_reason(
+	struct agent_core *a, int64_t now, const struct msg_reserve *r)
 {
 	const struct agent_member *old = g_hash_table_lookup(a->members, r->spec.id);
-	uint32_t voided = GPOINTER_TO_UINT(g_hash_table_lookup(a->voids, r->spec.id));
+	uint32_t voided = GPOINTER_TO_UINT(g_hash_table_lookup(a->voided_attempts, r->spec.id));
 
 	if (!agent_core_serving(a, now))
 		return "the upstream takes no new work";
@@ -346,7 +353,7 @@
 	return NULL;
 }
 
-/* Open the start gate of a member. */
+/* Start the task of a reserved member. */
 static void start_member(struct agent_core *a, int64_t now, struct agent_member *m)
 {
 	m->record.state = MEMBER_RUNNING;
@@ -358,7 +365,7 @@
 	a->ports.start_task(a->ports.arg, m);
 }
 
-/* Reserve a member. */
+/* Handle a reservation; one that is repeated is confirmed again. */
 static void on_reserve(struct agent_core *a, int64_t now, const struct msg_reserve *r)
 {
 	struct agent_member *m = find_member(a, r->spec.id, r->attempt);
@@ -368,11 +375,10 @@
 		send_reserved(a, r, NULL);
 		return;
 	}
-	why = refusal(a, now, r);
+	why = refusal_reason(a, now, r);
 	if (why != NULL) {
-		log_info("agent",
-			"A reservation was refused: %s. job=%s attempt=%u term=%" PRIu64, why,
-			r->spec.id, r->attempt, r->term);
+		log_info("agent", "Refused a reservation: %s. job=%s attempt=%u term=%" PRIu64,
+			why, r->spec.id, r->attempt, r->term);
 		send_reserved(a, r, why);
 		return;
 	}
@@ -389,21 +395,21 @@
 	if (r->size > 1 && r->member == 0)
 		m->gang_last_seen = xcalloc(r->size, sizeof(*m->gang_last_seen));
 	g_hash_table_replace(a->members, m->record.spec.id, m);
-	a->live++;
-	a->busy += m->record.accelerators;
+	a->live_members++;
+	a->busy_accelerators += m->record.accelerators;
 	send_reserved(a, r, NULL);
 	if (r->start)
 		start_member(a, now, m);
 }
 
-/* Start a reserved member. */
+/* Handle the order to start a reserved member; an unknown attempt is voided. */
 static void on_start(struct agent_core *a, int64_t now, const struct msg_start *s)
 {
 	struct agent_member *m = find_member(a, s->job, s->attempt);
 
 	if (m == NULL) {
 		void_attempt(a, s->job, s->attempt);
-		send_never(a, s->job, s->attempt, UINT32_MAX);
+		send_never_started(a, s->job, s->attempt, UINT32_MAX);
 		return;
 	}
 	if (m->record.state == MEMBER_ENDED)
@@ -417,7 +423,7 @@
 	start_member(a, now, m);
 }
 
-/* Ask the upstream to stop a member. */
+/* Stop a member: end it if it is only reserved, else ask the upstream to stop its task. */
 static void stop_member(struct agent_core *a, int64_t now, struct agent_member *m,
 	enum stop_mode mode, int64_t grace)
 {
@@ -432,14 +438,14 @@
 	a->ports.stop_task(a->ports.arg, m, mode);
 }
 
-/* Stop or release a member; an attempt that is not here is made void. */
+/* Handle the order to stop or release a member; an unknown attempt is voided. */
 static void on_stop(struct agent_core *a, int64_t now, const struct msg_stop *s)
 {
 	struct agent_member *m = find_member(a, s->job, s->attempt);
 
 	if (m == NULL) {
 		void_attempt(a, s->job, s->attempt);
-		send_never(a, s->job, s->attempt, UINT32_MAX);
+		send_never_started(a, s->job, s->attempt, UINT32_MAX);
 		return;
 	}
 	if (m->record.state == MEMBER_ENDED)
@@ -448,7 +454,7 @@
 		stop_member(a, now, m, s->mode, s->grace_ms * NSEC_PER_MSEC);
 }
 
-/* The coordinator has the end of a member. */
+/* Handle the acknowledgement of a member's end; the time it is kept starts now. */
 static void on_ended_ack(struct agent_core *a, int64_t now, const struct msg_ended_ack *s)
 {
 	struct agent_member *m = find_member(a, s->job, s->attempt);
@@ -459,8 +465,8 @@
 	m->ended_at = now;
 }
 
-/* The term of a coordinator's message; 0 where the kind has none. */
-static uint64_t term_of(const struct msg *m)
+/* Return the term of a message from the coordinator; 0 for other kinds of message. */
+static uint64_t message_term(const struct msg *m)
 {
 	switch (m->kind) {
 	case MSG_RESERVE:
@@ -476,17 +482,17 @@
 	}
 }
 
-/* A message of the coordinator. One with a lower term than seen is refused. */
+/* Handle a message from the coordinator; one with a lower term than seen before is refused. */
 void agent_core_message(struct agent_core *a, int64_t now, const struct msg *m)
 {
-	uint64_t term = term_of(m);
+	uint64_t term = message_term(m);
 
 	if (term == 0)
 		return;
 	if (term < a->term) {
-		counter_add(&refused_terms, 1);
+		counter_add(&stale_messages, 1);
 		log_warning("agent",
-			"A %s of an old term was refused. term=%" PRIu64 " ours=%" PRIu64,
+			"Refused a %s message of an old term. term=%" PRIu64 " ours=%" PRIu64,
 			msg_name(m->kind), term, a->term);
 		if (m->kind == MSG_RESERVE)
 			send_reserved(a, &m->reserve, "the term is over");
@@ -514,7 +520,10 @@
 	}
 }
 
-/* The upstream's task of a member has ended. */
+/*
+ * Handle the end of a member's task on the upstream. If the member was being stopped, an end
+ * other than done or never started counts as stopped.
+ */
 void agent_core_task_ended(struct agent_core *a, int64_t now, const char *job, uint32_t attempt,
 	enum member_end end, const struct job_result *result)
 {
@@ -529,7 +538,7 @@
 	end_member(a, now, m, end);
 }
 
-/* The upstream saved a member's state; now it can be stopped. */
+/* Store the checkpoint of a member that is being stopped, then stop its task. */
 void agent_core_checkpointed(struct agent_core *a, int64_t now, const char *job,
 	uint32_t attempt, const struct bytes *state)
 {
@@ -546,7 +555,7 @@
 	a->ports.stop_task(a->ports.arg, m, STOP_NOW);
 }
 
-/* The address of a gang's member in its roster ("ADDR,ADDR,..."). */
+/* Return the address of a gang member from the roster ("ADDR,ADDR,..."); NULL if missing. */
 static char *roster_addr(const struct agent_member *m, uint32_t member)
 {
 	g_auto(GStrv) parts = g_strsplit(m->record.roster ? m->record.roster : "", ",", -1);
@@ -554,7 +563,7 @@
 	return g_strv_length(parts) > member ? g_strdup(parts[member]) : NULL;
 }
 
-/* Send or answer a beat between members. */
+/* Send a heartbeat to another member of a gang. */
 static void send_gang_beat(struct agent_core *a, const char *addr, const struct agent_member *m,
 	uint32_t member, bool alive)
 {
@@ -569,21 +578,25 @@
 		a->ports.send_gang(a->ports.arg, addr, &out);
 }
 
-/* Whether a member is running or ended well, so that the others may go on. */
-static bool is_well(const struct agent_member *m)
+/* Whether a member is running or has completed, so that the rest of the gang may continue. */
+static bool is_running_or_done(const struct agent_member *m)
 {
 	return m->record.state == MEMBER_RUNNING ||
 	       (m->record.state == MEMBER_ENDED && m->record.end == MEMBER_END_DONE);
 }
 
-/* Member 0 hears another member. */
+/*
+ * Handle the heartbeat of another member; it is sent to the agent of member 0, which answers
+ * whether its own member is alive.
+ */
 void agent_core_gang_beat(
 	struct agent_core *a, int64_t now, const struct msg_gang_beat *b, const char *reply_to)
 {
 	struct agent_member *m = find_member(a, b->job, b->attempt);
 	struct msg out = {.kind = MSG_GANG_BEAT, .gang_beat = *b};
 
-	out.gang_beat.alive = m != NULL && (is_well(m) || m->record.state == MEMBER_RESERVED);
+	out.gang_beat.alive =
+		m != NULL && (is_running_or_done(m) || m->record.state == MEMBER_RESERVED);
 	if (m != NULL && m->gang_last_seen != NULL && b->member < m->record.size && b->alive) {
 		m->gang_last_seen[b->member] = b->done ? INT64_MAX : now;
 		if (m->record.state == MEMBER_ENDED)
@@ -592,7 +605,7 @@
 	a->ports.send_gang(a->ports.arg, reply_to, &out);
 }
 
-/* Another member hears member 0. */
+/* Handle the answer of member 0; if member 0 is not alive, stop the member here. */
 void agent_core_gang_beat_reply(
 	struct agent_core *a, int64_t now, const struct msg_gang_beat *b)
 {
@@ -604,12 +617,12 @@
 		m->gang_last_heard = now;
 		return;
 	}
-	counter_add(&gangs_cut, 1);
-	stop_member(a, now, m, STOP_NOW, STOP_PATIENCE);
+	counter_add(&gang_leases_lost, 1);
+	stop_member(a, now, m, STOP_NOW, STOP_RETRY_INTERVAL_NS);
 }
 
-/* Whether a running member of a gang has lost the others. */
-static bool lost_gang(const struct agent_member *m, int64_t now)
+/* Whether a running member has not heard from its gang for AGENT_GANG_LEASE_NS. */
+static bool gang_lease_expired(const struct agent_member *m, int64_t now)
 {
 	if (m->record.member != 0)
 		return now - m->gang_last_heard > AGENT_GANG_LEASE_NS;
@@ -620,36 +633,37 @@
 	return false;
 }
 
-/* Keep the lease between the members of a gang. */
+/* Send the heartbeat of a gang member, and stop the member if its lease has expired. */
 static void tick_gang(struct agent_core *a, int64_t now, struct agent_member *m)
 {
-	if (m->record.size < 2 || !is_well(m))
+	if (m->record.size < 2 || !is_running_or_done(m))
 		return;
 	if (m->record.member != 0) {
 		g_autofree char *addr = roster_addr(m, 0);
 
 		send_gang_beat(a, addr, m, m->record.member, true);
 	}
-	if (m->record.state != MEMBER_RUNNING || !lost_gang(m, now))
+	if (m->record.state != MEMBER_RUNNING || !gang_lease_expired(m, now))
 		return;
 	log_warning("agent",
-		"Another member of the gang was not heard of; ours is stopped. job=%s "
+		"Lost contact with another member of the gang; stopping the local one. job=%s "
 		"attempt=%u",
 		m->record.spec.id, m->record.attempt);
-	counter_add(&gangs_cut, 1);
-	stop_member(a, now, m, STOP_NOW, STOP_PATIENCE);
+	counter_add(&gang_leases_lost, 1);
+	stop_member(a, now, m, STOP_NOW, STOP_RETRY_INTERVAL_NS);
 }
 
-/* Enforce the times of one member; true where it can be forgotten. */
+/* Check the timeouts of one member; returns true once the member can be dropped. */
 static bool tick_member(struct agent_core *a, int64_t now, struct agent_member *m)
 {
 	if (m->record.state == MEMBER_RESERVED && now > m->reserved_until) {
-		log_info("agent", "A reservation was not used in time. job=%s attempt=%u",
+		log_info("agent",
+			"A reservation expired before it was started. job=%s attempt=%u",
 			m->record.spec.id, m->record.attempt);
 		end_member(a, now, m, MEMBER_END_NEVER_STARTED);
 	}
 	if (m->record.state == MEMBER_STOPPING && now > m->stop_deadline) {
-		m->stop_deadline = now + STOP_PATIENCE;
+		m->stop_deadline = now + STOP_RETRY_INTERVAL_NS;
 		m->stop_sent = true;
 		a->ports.stop_task(a->ports.arg, m, STOP_NOW);
 	}
@@ -658,10 +672,13 @@
 	       now - m->ended_at > AGENT_ENDED_TTL_NS;
 }
 
-/* Enforce times; call about once a second. */
+/*
+ * Check all timeouts; called about once a second. The time for which ended members are kept
+ * does not run while the coordinator is disconnected.
+ */
 void agent_core_tick(struct agent_core *a, int64_t now)
 {
-	int64_t gap = a->last_tick > 0 ? now - a->last_tick : 0;
+	int64_t elapsed = a->last_tick > 0 ? now - a->last_tick : 0;
 	GHashTableIter it;
 	gpointer value;
 
@@ -671,10 +688,10 @@
 		struct agent_member *m = value;
 
 		if (!a->connected)
-			m->ended_at += gap;
+			m->ended_at += elapsed;
 		if (tick_member(a, now, m))
 			g_hash_table_iter_remove(&it);
 	}
-	if (a->was_serving != agent_core_serving(a, now))
+	if (a->reported_serving != agent_core_serving(a, now))
 		agent_core_report(a, now);
 }
