--- a/packages/coordination/coord-run.c
+++ b/packages/coordination/coord-run.c
@@ -18,7 +18,7 @@
 	coord_send(c, peer, &m);
 }
 
-/* The addresses of a gang's members, in order. */
+/* Return the addresses of the agents of all members, ordered by member ("ADDR,ADDR,..."). */
 static char *gang_roster(const struct coord_job *j)
 {
 	GString *out = g_string_new(NULL);
@@ -29,7 +29,10 @@
 	return g_string_free(out, FALSE);
 }
 
-/* Send the reservation of one member. */
+/*
+ * Send the reservation of one member. No reservation is sent before the agent's inventory has
+ * arrived, so that a member missing from the inventory is known never to have been reserved.
+ */
 static void send_reserve(struct coord *c, struct coord_job *j, uint32_t member,
 	uint32_t accelerators, const char *roster)
 {
@@ -45,12 +48,14 @@
 		.start = j->size == 1,
 		.roster = (char *)roster,
 		.checkpoint = j->checkpoint};
-	/* Before its inventory an agent gets nothing, or the inventory would prove nothing. */
 	m->sent = m->agent->inventory && coord_send(c, m->agent->peer, &out);
 	m->start_sent = m->sent && j->size == 1;
 }
 
-/* Take back an attempt of which no member was told to start. */
+/*
+ * Abort an attempt of which no member was told to start: release its reservations and report
+ * the failure to the scheduler.
+ */
 static void abort_attempt(struct coord *c, int64_t now, struct coord_job *j)
 {
 	for (uint32_t i = 0; i < j->size; i++) {
@@ -64,7 +69,7 @@
 	sched_reserve_failed(c->sched, now, j->ref, j->attempt);
 }
 
-/* Send the reservations of an attempt. */
+/* Send the reservations of an attempt; if one cannot be sent, the attempt is aborted. */
 void run_dispatch(struct coord *c, int64_t now, struct coord_job *j)
 {
 	const struct sched_job *s = sched_job(c->sched, j->ref);
@@ -91,7 +96,10 @@
 		abort_attempt(c, now, j);
 }
 
-/* The core placed a job. */
+/*
+ * Handle the placement of a job by the scheduler. The record of a job that is durable but not
+ * idempotent is written before any reservation is sent.
+ */
 static void on_place(struct coord *c, int64_t now, struct coord_job *j, uint32_t attempt)
 {
 	const struct sched_job *s = sched_job(c->sched, j->ref);
@@ -115,7 +123,7 @@
 	j->placed = xstrdup(placed->str);
 	g_string_free(placed, TRUE);
 	j->record_attempt = attempt;
-	log_info("coord", "A job is placed on %s. job=%s attempt=%u term=%" PRIu64, j->placed,
+	log_info("coord", "Placed a job on %s. job=%s attempt=%u term=%" PRIu64, j->placed,
 		j->spec.id, attempt, c->term);
 	if (j->spec.durable && !j->spec.idempotent) {
 		job_mark_dirty(j);
@@ -126,7 +134,7 @@
 	run_dispatch(c, now, j);
 }
 
-/* The core wants a job stopped, perhaps before its attempt was sent anywhere. */
+/* Stop an attempt for the scheduler; abort it if its reservations have not been sent yet. */
 static void on_stop(
 	struct coord *c, int64_t now, struct coord_job *j, const struct sched_action *a)
 {
@@ -149,7 +157,7 @@
 	}
 }
 
-/* The core ended a job. */
+/* Handle the end of a job in the scheduler: keep its explanation and record its result. */
 static void on_end(
 	struct coord *c, int64_t now, struct coord_job *j, const struct sched_action *a)
 {
@@ -172,7 +180,7 @@
 	job_end(c, now, j, &j->result);
 }
 
-/* Carry out what the core decided. */
+/* Carry out the pending actions of the scheduler. */
 void run_actions(struct coord *c, int64_t now)
 {
 	struct sched_action a;
@@ -203,7 +211,7 @@
 	}
 }
 
-/* All members of a gang are reserved: open the gates. */
+/* Tell all members of a gang to start; all of them are reserved. */
 static void start_gang(struct coord *c, int64_t now, struct coord_job *j)
 {
 	for (uint32_t i = 0; i < j->size; i++) {
@@ -217,7 +225,10 @@
 	sched_started(c->sched, now, j->ref, j->attempt);
 }
 
-/* An agent answered a reservation. */
+/*
+ * Handle the answer to a reservation. A refusal aborts the attempt, and the job is started once
+ * all members are reserved. A reservation that is no longer wanted is released.
+ */
 void run_reserved(
 	struct coord *c, int64_t now, struct coord_agent *a, const struct msg_reserved *m)
 {
@@ -233,8 +244,9 @@
 	if (j->started || j->members[m->member].ended)
 		return;
 	if (!m->ok) {
-		log_info("coord", "Agent %s refused: %s. job=%s attempt=%u", a->name,
-			m->reason != NULL ? m->reason : "no reason", m->job, m->attempt);
+		log_info("coord", "Agent %s refused a reservation: %s. job=%s attempt=%u",
+			a->name, m->reason != NULL ? m->reason : "no reason", m->job,
+			m->attempt);
 		j->members[m->member].sent = false;
 		j->members[m->member].start_sent = false;
 		abort_attempt(c, now, j);
@@ -253,8 +265,8 @@
 	sched_started(c->sched, now, j->ref, j->attempt);
 }
 
-/* Acknowledge an end at once, or with the record of a job that must be remembered. */
-static void acknowledge(
+/* Acknowledge the end of a member: at once, or for a durable job once its record is written. */
+static void acknowledge_end(
 	struct coord *c, struct coord_agent *a, struct coord_job *j, const struct msg_ended *m)
 {
 	struct coord_ack ack = {a->peer, m->attempt};
@@ -267,7 +279,7 @@
 		coord_send(c, a->peer, &out);
 }
 
-/* Keep what the upstream answered: member 0's, or the first failure's. */
+/* Keep the result and the checkpoint of a member if it is member 0 or has failed. */
 static void keep_result(struct coord_job *j, const struct msg_ended *m)
 {
 	bool failed = m->end == MEMBER_END_FAILED;
@@ -282,7 +294,7 @@
 	}
 }
 
-/* Enter the end of a member and acknowledge it. */
+/* Record the end of a member and acknowledge it. */
 void run_record_end(
 	struct coord *c, int64_t now, struct coord_agent *a, const struct msg_ended *m)
 {
@@ -305,10 +317,10 @@
 			m->checkpoint.len > 0 ? now - j->submitted_at : 0);
 		run_actions(c, now);
 	}
-	acknowledge(c, a, j, m);
+	acknowledge_end(c, a, j, m);
 }
 
-/* A member has ended, as its agent says; one that is still to be settled waits for that. */
+/* Handle the report that a member has ended, unless settling still has to match the member. */
 void run_handle_ended(
 	struct coord *c, int64_t now, struct coord_agent *a, const struct msg_ended *m)
 {
@@ -317,9 +329,10 @@
 }
 
 /*
- * Settle the open members of an agent. may_report: the agent is back on a new connection and
- * its inventory, which has been taken in, is the proof for what it does not list. Otherwise
- * the agent is dead or restarted, and a member that was told to start is lost.
+ * Close the open members of an agent. With may_report, the agent has reconnected and its
+ * inventory has been processed: confirmed members of the same incarnation stay open, and the
+ * inventory proves that the others never started. Without it, the agent is dead or has
+ * restarted: a member that was told to start is lost, and the others never started.
  */
 void run_close_members(struct coord *c, int64_t now, struct coord_agent *a, bool may_report)
 {
@@ -354,10 +367,10 @@
 	run_actions(c, now);
 }
 
-/* Take back attempts whose reservations were not answered in time. */
+/* Abort attempts whose reservations were not all answered, or records not written, in time. */
 void run_check_timeouts(struct coord *c, int64_t now)
 {
-	g_autoptr(GPtrArray) late = g_ptr_array_new();
+	g_autoptr(GPtrArray) expired = g_ptr_array_new();
 	GHashTableIter it;
 	gpointer value;
 
@@ -368,8 +381,8 @@
 
 		if (!j->ended && j->in_sched && now > j->reserve_deadline &&
 			(gang_late || j->write_before_start))
-			g_ptr_array_add(late, j);
+			g_ptr_array_add(expired, j);
 	}
-	for (guint i = 0; i < late->len; i++)
-		abort_attempt(c, now, late->pdata[i]);
+	for (guint i = 0; i < expired->len; i++)
+		abort_attempt(c, now, expired->pdata[i]);
 }
