--- a/packages/coordination/coord-agent.c
+++ b/packages/coordination/coord-agent.c
@@ -8,7 +8,7 @@
 
 static const struct field_table *report_fields(void);
 
-/* Free an agent's record. */
+/* Free an agent. */
 void coord_agent_free(void *p)
 {
 	struct coord_agent *a = p;
@@ -37,7 +37,7 @@
 	return NULL;
 }
 
-/* Find an agent by its worker in the core. */
+/* Find the agent that manages a worker of the scheduler; dead agents are skipped. */
 struct coord_agent *agent_by_worker(struct coord *c, uint32_t worker)
 {
 	GHashTableIter it;
@@ -53,7 +53,7 @@
 	return NULL;
 }
 
-/* Whether an agent is connected, has told its inventory and did not restart since. */
+/* Whether an agent is alive, has sent its inventory and has not restarted since. */
 bool agent_is_same_incarnation(struct coord *c, const char *name, uint64_t incarnation)
 {
 	const struct coord_agent *a = g_hash_table_lookup(c->agents, name);
@@ -61,8 +61,8 @@
 	return a != NULL && a->inventory && !a->dead && a->incarnation == incarnation;
 }
 
-/* A dead or restarted agent: what it may have started is lost. */
-static void bury(struct coord *c, int64_t now, struct coord_agent *a)
+/* Handle the death, restart or replacement of an agent: what it may have started is lost. */
+static void handle_agent_death(struct coord *c, int64_t now, struct coord_agent *a)
 {
 	coord_record_dead_agent(c, now, a);
 	if (a->has_worker)
@@ -71,7 +71,7 @@
 	run_close_members(c, now, a, false);
 }
 
-/* Welcome an agent; it answers with its report and inventory. */
+/* Send the welcome message, which an agent answers with its report and inventory. */
 static void send_welcome(struct coord *c, const struct coord_agent *a)
 {
 	struct msg m = {.kind = MSG_WELCOME,
@@ -85,7 +85,7 @@
 	coord_send(c, a->peer, &m);
 }
 
-/* An agent introduced itself. */
+/* Handle the first message of an agent on a connection; it may be new or restarted. */
 void agent_hello(struct coord *c, int64_t now, peer_id peer, const struct msg_hello *h)
 {
 	struct coord_agent *a;
@@ -100,7 +100,7 @@
 		g_hash_table_insert(c->agents, a->name, a);
 	} else if (a->incarnation != h->incarnation) {
 		log_info("coord", "Agent %s restarted.", a->name);
-		bury(c, now, a);
+		handle_agent_death(c, now, a);
 		a->has_worker = false;
 	}
 	if (a->peer != PEER_NONE && a->peer != peer)
@@ -116,8 +116,11 @@
 	send_welcome(c, a);
 }
 
-/* Enter or update the worker that an agent reports. */
-static void enter_worker(struct coord *c, int64_t now, struct coord_agent *a)
+/*
+ * Add the worker that an agent reports to the scheduler, or update it. It is restricted to
+ * idempotent jobs while the saved roster does not list the agent's incarnation.
+ */
+static void register_worker(struct coord *c, int64_t now, struct coord_agent *a)
 {
 	const struct msg_report *r = &a->report;
 	struct sched_worker_spec spec = {
@@ -128,17 +131,18 @@
 			.cores = (int32_t)r->cores,
 			.memory_mb = r->memory_mb},
 	};
-	const uint64_t *saved = g_hash_table_lookup(c->saved_roster, a->name);
+	const uint64_t *saved_incarnation = g_hash_table_lookup(c->saved_roster, a->name);
 
 	a->worker = sched_worker_up(c->sched, now, &spec);
 	a->has_worker = true;
-	sched_worker_restrict(c->sched, a->worker, saved == NULL || *saved != a->incarnation);
+	sched_worker_restrict(c->sched, a->worker,
+		saved_incarnation == NULL || *saved_incarnation != a->incarnation);
 	if (!a->serving)
 		sched_worker_drain(c->sched, a->worker, true);
 }
 
-/* Another agent that speaks for the same worker; NULL for none. */
-static struct coord_agent *other_agent(struct coord *c, const struct coord_agent *a)
+/* Find another live agent that reports the same worker; NULL if there is none. */
+static struct coord_agent *find_other_agent(struct coord *c, const struct coord_agent *a)
 {
 	GHashTableIter it;
 	gpointer value;
@@ -154,7 +158,11 @@
 	return NULL;
 }
 
-/* An agent reports what its upstream offers. */
+/*
+ * Handle an agent's report of its upstream's capacity. If another agent has reported the same
+ * worker, the report is ignored while that agent is connected; otherwise the other agent is
+ * declared dead and this one takes over the worker.
+ */
 static void on_report(struct coord *c, int64_t now, struct coord_agent *a, const struct msg *m)
 {
 	struct coord_agent *other;
@@ -165,26 +173,29 @@
 	fields_copy(report_fields(), &a->report, &m->report);
 	a->reported = true;
 	a->serving = m->report.serving && !m->report.draining;
-	other = other_agent(c, a);
+	other = find_other_agent(c, a);
 	if (other != NULL && other->peer != PEER_NONE) {
 		log_warning("coord",
-			"Agents %s and %s both speak for worker %s; the second waits.",
+			"Agents %s and %s both report worker %s; the second is ignored.",
 			other->name, a->name, a->report.worker);
 		a->reported = false;
 		return;
 	}
 	if (other != NULL) {
-		log_info("coord", "Worker %s came back with agent %s.", a->report.worker,
+		log_info("coord", "Worker %s has returned with agent %s.", a->report.worker,
 			a->name);
-		bury(c, now, other);
+		handle_agent_death(c, now, other);
 		other->dead = true;
 		other->has_worker = false;
 	}
 	if (a->inventory)
-		enter_worker(c, now, a);
+		register_worker(c, now, a);
 }
 
-/* An agent's ground truth, after it adopted our term. */
+/*
+ * Handle the inventory of an agent: the members that it really has, sent after it adopted the
+ * coordinator's term.
+ */
 static void on_inventory(
 	struct coord *c, int64_t now, struct coord_agent *a, const struct msg_inventory *inv)
 {
@@ -192,13 +203,13 @@
 		return;
 	a->inventory = true;
 	if (a->reported)
-		enter_worker(c, now, a);
+		register_worker(c, now, a);
 	settle_handle_inventory(c, a, inv);
 	run_close_members(c, now, a, true);
 	settle_advance(c, now);
 }
 
-/* A sign of life. */
+/* Handle a heartbeat. */
 static void on_beat(struct coord *c, struct coord_agent *a, const struct msg_beat *b)
 {
 	struct msg m = {.kind = MSG_BEAT_ACK,
@@ -212,7 +223,7 @@
 	coord_send(c, a->peer, &m);
 }
 
-/* A message of an agent. */
+/* Handle a message from an agent; a suspected agent is usable again. */
 void agent_message(struct coord *c, int64_t now, struct coord_agent *a, const struct msg *m)
 {
 	if (a->suspected && a->inventory && a->has_worker && a->serving)
@@ -240,17 +251,23 @@
 	}
 }
 
-/* An agent's connection is gone: no new work, until it returns or is declared dead. */
+/*
+ * Handle the loss of an agent's connection: its worker gets no new work until the agent
+ * reconnects or is declared dead.
+ */
 void agent_lost(struct coord *c, int64_t now, struct coord_agent *a)
 {
 	(void)now;
 	a->peer = PEER_NONE;
 	if (a->has_worker)
 		sched_worker_drain(c->sched, a->worker, true);
-	log_info("coord", "The connection to agent %s is gone.", a->name);
+	log_info("coord", "Lost the connection to agent %s.", a->name);
 }
 
-/* Suspect the silent, and declare dead those that stay silent. */
+/*
+ * Suspect agents that have been silent for COORD_SUSPECT_TIMEOUT_NS, and declare them dead
+ * after COORD_DEAD_TIMEOUT_NS. The worker of a suspected agent is drained.
+ */
 void agent_check_timeouts(struct coord *c, int64_t now)
 {
 	GHashTableIter it;
@@ -270,29 +287,29 @@
 		}
 		if (silent < COORD_DEAD_TIMEOUT_NS)
 			continue;
-		log_warning("coord", "Agent %s is dead.", a->name);
+		log_warning("coord", "Agent %s timed out and was declared dead.", a->name);
 		counter_add(&agents_lost, 1);
 		a->dead = true;
 		if (a->peer != PEER_NONE)
 			c->ports.close(c->ports.arg, a->peer);
 		a->peer = PEER_NONE;
-		bury(c, now, a);
+		handle_agent_death(c, now, a);
 	}
 }
 
-static const struct field report_list[] = {
+static const struct field report_field_list[] = {
 	{.kind = FIELD_TEXT, .offset = offsetof(struct msg_report, worker)},
 	{.kind = FIELD_TEXT, .offset = offsetof(struct msg_report, rack)},
 	{.kind = FIELD_TEXT, .offset = offsetof(struct msg_report, zone)},
 };
 
-/* The owned fields of a report, for copying. */
+/* Return the table of the fields of a report that own memory, for copying and freeing. */
 static const struct field_table *report_fields(void)
 {
 	static const struct field_table t = {.name = "report",
 		.size = sizeof(struct msg_report),
-		.fields = report_list,
-		.count = ARRAY_LEN(report_list)};
+		.fields = report_field_list,
+		.count = ARRAY_LEN(report_field_list)};
 
 	return &t;
 }
