--- a/packages/coordination/coord-query.c
+++ b/packages/coordination/coord-query.c
@@ -4,10 +4,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define LIST_MAX 1000
+#define LISTED_JOBS_MAX 1000
 
-/* The state of a job that has not ended. */
-static const char *live_state(struct coord *c, const struct coord_job *j)
+/* Return the name of the state of a job that has not been reported as ended. */
+static const char *job_state_name(struct coord *c, const struct coord_job *j)
 {
 	const struct sched_job *s = j->in_sched ? sched_job(c->sched, j->ref) : NULL;
 	static const char *const names[] = {
@@ -20,7 +20,7 @@
 	return s != NULL ? names[s->state] : "settling";
 }
 
-/* One job as JSON. */
+/* Return a job as JSON; its result is included once it may be sent. */
 static json_t *job_json(struct coord *c, int64_t now, const struct coord_job *j)
 {
 	const struct job_result *r = &j->result;
@@ -29,7 +29,7 @@
 		"organisation", j->spec.org, "class",
 		j->spec.class_name ? j->spec.class_name : "", "kind",
 		j->spec.kind ? j->spec.kind : "", "state",
-		job_result_sendable(j) ? "ended" : live_state(c, j), "accelerators",
+		job_result_sendable(j) ? "ended" : job_state_name(c, j), "accelerators",
 		(int)j->spec.accelerators, "within", adjacency_name(j->spec.adjacency),
 		"idempotent", j->spec.idempotent, "attempt", (int)j->attempt, "submitted",
 		when);
@@ -50,13 +50,13 @@
 	return o;
 }
 
-/* Whether the asker may see a job. */
-static bool may_see(const struct msg_query *q, const struct coord_job *j)
+/* Whether a query may see a job: one without an organisation sees all jobs. */
+static bool query_may_see(const struct msg_query *q, const struct coord_job *j)
 {
 	return q->org == NULL || strcmp(q->org, j->spec.org) == 0;
 }
 
-/* The jobs of an organisation, or all. */
+/* Return the jobs of an organisation or of all, at most LISTED_JOBS_MAX, in no fixed order. */
 static json_t *jobs_json(struct coord *c, int64_t now, const struct msg_query *q)
 {
 	json_t *out = json_array();
@@ -64,17 +64,18 @@
 	gpointer value;
 
 	g_hash_table_iter_init(&it, c->jobs);
-	while (g_hash_table_iter_next(&it, NULL, &value) && json_array_size(out) < LIST_MAX) {
+	while (g_hash_table_iter_next(&it, NULL, &value) &&
+		json_array_size(out) < LISTED_JOBS_MAX) {
 		const struct coord_job *j = value;
 
-		if (may_see(q, j) &&
+		if (query_may_see(q, j) &&
 			(q->arg == NULL || *q->arg == '\0' || strcmp(q->arg, j->spec.org) == 0))
 			json_array_append_new(out, job_json(c, now, j));
 	}
 	return out;
 }
 
-/* The organisations with what they are guaranteed, use, borrow and lend. */
+/* Return the guaranteed, used, borrowed and lent accelerators of each organisation. */
 static json_t *orgs_json(struct coord *c)
 {
 	json_t *out = json_array();
@@ -94,8 +95,8 @@
 	return out;
 }
 
-/* The state word of a worker. */
-static const char *worker_state(
+/* Return the name of a worker's state. */
+static const char *worker_state_name(
 	const struct sched_worker_view *v, const struct coord_agent *a, int64_t now)
 {
 	if (!v->up)
@@ -107,7 +108,7 @@
 	return v->draining ? "draining" : "up";
 }
 
-/* The workers. */
+/* Return the workers with their capacity and use. */
 static json_t *workers_json(struct coord *c, int64_t now)
 {
 	json_t *out = json_array();
@@ -120,7 +121,7 @@
 		json_array_append_new(out,
 			json_pack("{s:s,s:s,s:s,s:s,s:i,s:i,s:i,s:i,s:i,s:s,s:I,s:i}", "worker",
 				v.name, "cell", c->cell, "rack", v.rack, "state",
-				worker_state(&v, a, now), "accelerators",
+				worker_state_name(&v, a, now), "accelerators",
 				(int)v.capacity.accelerators, "used", (int)v.used.accelerators,
 				"promised", (int)v.promised, "jobs", (int)v.jobs, "slots",
 				(int)v.capacity.slots, "agent", a != NULL ? a->name : "",
@@ -130,7 +131,7 @@
 	return out;
 }
 
-/* The cell. */
+/* Return the state of the cell. */
 static json_t *cell_json(struct coord *c, int64_t now)
 {
 	struct sched_free_view v;
@@ -148,7 +149,7 @@
 		"oldest_ms", (json_int_t)(v.oldest / NSEC_PER_MSEC));
 }
 
-/* The trail of job changes. */
+/* Return the latest audit records, oldest first. */
 static json_t *audit_json(struct coord *c)
 {
 	json_t *out = json_array();
@@ -158,7 +159,7 @@
 	return out;
 }
 
-/* Why a job waits or went where it went. */
+/* Return a job and the scheduler's explanation of why it waits or how it was placed. */
 static json_t *explain_json(struct coord *c, int64_t now, const struct coord_job *j)
 {
 	json_t *job = job_json(c, now, j);
@@ -169,7 +170,10 @@
 	return job;
 }
 
-/* Drain or undrain a worker by hand. */
+/*
+ * Start or end the draining of a worker on behalf of an operator. arg is "WORKER:on" or
+ * "WORKER:off"; NULL if it has no colon or the worker does not exist.
+ */
 static json_t *drain_json(struct coord *c, int64_t now, const char *arg)
 {
 	const char *colon = strchr(arg, ':');
@@ -187,8 +191,8 @@
 	return json_object();
 }
 
-/* The answer to one question; NULL where there is no such thing. */
-static json_t *answer(struct coord *c, int64_t now, const struct msg_query *q)
+/* Return the answer to a query; NULL if what it asks for does not exist or may not be seen. */
+static json_t *query_json(struct coord *c, int64_t now, const struct msg_query *q)
 {
 	const struct coord_job *j;
 
@@ -205,20 +209,20 @@
 	if (strcmp(q->what, "drain") == 0)
 		return q->arg != NULL ? drain_json(c, now, q->arg) : NULL;
 	j = job_find(c, q->arg);
-	if (j == NULL || !may_see(q, j))
+	if (j == NULL || !query_may_see(q, j))
 		return NULL;
 	if (strcmp(q->what, "explain") == 0)
 		return explain_json(c, now, j);
 	return job_json(c, now, j);
 }
 
-/* Send a job's whole result as an answer, for an entry that did not wait for it. */
+/* Send the full result of a job to an entry that did not wait for it; false if none is sent. */
 static bool send_result(struct coord *c, peer_id peer, const struct msg_query *q)
 {
 	struct coord_job *j = strcmp(q->what, "result") == 0 ? job_find(c, q->arg) : NULL;
 	struct msg m = {.kind = MSG_ANSWER};
 
-	if (j == NULL || !job_result_sendable(j) || !may_see(q, j))
+	if (j == NULL || !job_result_sendable(j) || !query_may_see(q, j))
 		return false;
 	m.answer = (struct msg_answer){.job = j->spec.id, .term = c->term, .result = j->result};
 	m.answer.request = q->request;
@@ -226,7 +230,7 @@
 	return true;
 }
 
-/* Answer a question of an entry. */
+/* Handle a query of an entry. */
 void query_answer(struct coord *c, int64_t now, peer_id peer, const struct msg_query *q)
 {
 	struct msg m = {.kind = MSG_REPLY, .reply = {.request = q->request}};
@@ -235,7 +239,7 @@
 
 	if (q->what == NULL || send_result(c, peer, q))
 		return;
-	o = answer(c, now, q);
+	o = query_json(c, now, q);
 	if (o == NULL) {
 		m.reply.failed = true;
 		m.reply.error = ERR_NOT_FOUND;
