--- a/tests/unit/test-agent.c
+++ b/tests/unit/test-agent.c
@@ -4,51 +4,52 @@
 
 #include <string.h>
 
-/* What an agent core sent and did. */
-struct seen {
+/* Calls of the agent core to its ports, recorded. */
+struct recorded {
 	int starts;
 	int stops;
 	bool reserved_ok;
-	uint32_t ended;
+	uint32_t last_end; /* enum member_end */
 	int ends;
 	bool gang_alive;
 };
 
 static void port_send(void *arg, const struct msg *m)
 {
-	struct seen *s = arg;
+	struct recorded *rec = arg;
 
 	if (m->kind == MSG_RESERVED)
-		s->reserved_ok = m->reserved.ok;
+		rec->reserved_ok = m->reserved.ok;
 	if (m->kind != MSG_ENDED)
 		return;
-	s->ended = m->ended.end;
-	s->ends++;
+	rec->last_end = m->ended.end;
+	rec->ends++;
 }
 
-static void port_gang(void *arg, const char *addr, const struct msg *m)
+static void port_send_gang(void *arg, const char *addr, const struct msg *m)
 {
 	(void)addr;
-	((struct seen *)arg)->gang_alive = m->gang_beat.alive;
+	((struct recorded *)arg)->gang_alive = m->gang_beat.alive;
 }
 
-static void port_start(void *arg, const struct agent_member *m)
+static void port_start_task(void *arg, const struct agent_member *m)
 {
 	(void)m;
-	((struct seen *)arg)->starts++;
+	((struct recorded *)arg)->starts++;
 }
 
-static void port_stop(void *arg, const struct agent_member *m, enum stop_mode mode)
+static void port_stop_task(void *arg, const struct agent_member *m, enum stop_mode mode)
 {
 	(void)m;
 	(void)mode;
-	((struct seen *)arg)->stops++;
+	((struct recorded *)arg)->stops++;
 }
 
-/* An agent with 8 accelerators and term 2. */
-static struct agent_core *make_agent(struct seen *s)
+/* Create an agent with 8 accelerators, 2 slots and term 2. */
+static struct agent_core *make_agent(struct recorded *rec)
 {
-	struct agent_ports ports = {port_send, port_gang, port_start, port_stop, s};
+	struct agent_ports ports = {
+		port_send, port_send_gang, port_start_task, port_stop_task, rec};
 	struct agent_upstream u = {.expires = INT64_MAX,
 		.addr = "a",
 		.worker = "w",
@@ -59,7 +60,7 @@
 		.connections = 64};
 	struct agent_core *a;
 
-	memset(s, 0, sizeof(*s));
+	memset(rec, 0, sizeof(*rec));
 	a = agent_core_new(&ports);
 	agent_core_upstream_announced(a, 0, &u);
 	agent_core_adopt_term(a, 0, 2);
@@ -67,7 +68,7 @@
 }
 
 static void reserve(struct agent_core *a, uint64_t term, char *job, uint32_t attempt,
-	uint32_t n, uint32_t size, bool start)
+	uint32_t accelerators, uint32_t size, bool start)
 {
 	struct msg m = {.kind = MSG_RESERVE};
 
@@ -75,7 +76,7 @@
 		.spec = {.id = job, .org = "o"},
 		.attempt = attempt,
 		.size = size,
-		.accelerators = n,
+		.accelerators = accelerators,
 		.start = start,
 		.roster = "x:1,y:1"};
 	agent_core_message(a, 0, &m);
@@ -97,101 +98,107 @@
 	agent_core_message(a, 0, &m);
 }
 
-/* A message of an old term starts nothing. */
-static void old_terms(void)
+/* Messages of an old term neither start nor stop a member. */
+static void old_terms_refused(void)
 {
-	struct seen s;
-	struct agent_core *a = make_agent(&s);
+	struct recorded rec;
+	struct agent_core *a = make_agent(&rec);
 
 	reserve(a, 1, "j", 1, 1, 1, true);
-	CU_ASSERT_EQUAL(s.starts, 0);
-	CU_ASSERT_FALSE(s.reserved_ok);
+	CU_ASSERT_EQUAL(rec.starts, 0);
+	CU_ASSERT_FALSE(rec.reserved_ok);
 	CU_ASSERT_FALSE(agent_core_adopt_term(a, 0, 1));
 	reserve(a, 3, "j", 1, 1, 1, true);
-	CU_ASSERT_EQUAL(s.starts, 1);
+	CU_ASSERT_EQUAL(rec.starts, 1);
 	send_stop(a, 2, "j", 1);
-	CU_ASSERT_EQUAL(s.stops, 0);
+	CU_ASSERT_EQUAL(rec.stops, 0);
 	agent_core_free(a);
 }
 
-/* An attempt that was voided before it came never starts; nor does an earlier one. */
-static void fences(void)
+/*
+ * An attempt that was stopped before its reservation arrived never starts, nor does an earlier
+ * one. A later attempt starts, and only once if its reservation is repeated.
+ */
+static void voided_attempts_never_start(void)
 {
-	struct seen s;
-	struct agent_core *a = make_agent(&s);
+	struct recorded rec;
+	struct agent_core *a = make_agent(&rec);
 
 	send_stop(a, 2, "j", 3);
-	CU_ASSERT_EQUAL(s.ended, MEMBER_END_NEVER_STARTED);
+	CU_ASSERT_EQUAL(rec.last_end, MEMBER_END_NEVER_STARTED);
 	reserve(a, 2, "j", 3, 1, 1, true);
 	reserve(a, 2, "j", 2, 1, 1, true);
-	CU_ASSERT_EQUAL(s.starts, 0);
+	CU_ASSERT_EQUAL(rec.starts, 0);
 	reserve(a, 2, "j", 4, 1, 1, true);
-	CU_ASSERT_EQUAL(s.starts, 1);
+	CU_ASSERT_EQUAL(rec.starts, 1);
 	reserve(a, 2, "j", 4, 1, 1, true);
-	CU_ASSERT_EQUAL(s.starts, 1);
+	CU_ASSERT_EQUAL(rec.starts, 1);
 	agent_core_free(a);
 }
 
-/* Never above the slots and the accelerators. */
-static void limits(void)
+/* Reservations beyond the slots or the accelerators are refused. */
+static void capacity_limits(void)
 {
-	struct seen s;
-	struct agent_core *a = make_agent(&s);
+	struct recorded rec;
+	struct agent_core *a = make_agent(&rec);
 
 	reserve(a, 2, "a", 1, 6, 1, true);
 	reserve(a, 2, "b", 1, 3, 1, true);
-	CU_ASSERT_FALSE(s.reserved_ok);
+	CU_ASSERT_FALSE(rec.reserved_ok);
 	reserve(a, 2, "c", 1, 2, 1, true);
-	CU_ASSERT(s.reserved_ok);
+	CU_ASSERT(rec.reserved_ok);
 	reserve(a, 2, "d", 1, 0, 1, true);
-	CU_ASSERT_FALSE(s.reserved_ok);
-	CU_ASSERT_EQUAL(s.starts, 2);
+	CU_ASSERT_FALSE(rec.reserved_ok);
+	CU_ASSERT_EQUAL(rec.starts, 2);
 	agent_core_free(a);
 }
 
-/* A gang's member waits at its gate; a reservation that is not used lapses and is void. */
-static void start_gate(void)
+/*
+ * A gang member does not start before it is told to. A reservation that expires is voided, and
+ * a late start of it has no effect.
+ */
+static void gang_waits_for_start(void)
 {
-	struct seen s;
-	struct agent_core *a = make_agent(&s);
+	struct recorded rec;
+	struct agent_core *a = make_agent(&rec);
 
 	reserve(a, 2, "g", 1, 4, 2, false);
-	CU_ASSERT_EQUAL(s.starts, 0);
+	CU_ASSERT_EQUAL(rec.starts, 0);
 	agent_core_tick(a, AGENT_RESERVE_LEASE_NS + NSEC_PER_SEC);
-	CU_ASSERT_EQUAL(s.ended, MEMBER_END_NEVER_STARTED);
+	CU_ASSERT_EQUAL(rec.last_end, MEMBER_END_NEVER_STARTED);
 	send_start(a, "g", 1);
-	CU_ASSERT_EQUAL(s.starts, 0);
+	CU_ASSERT_EQUAL(rec.starts, 0);
 	reserve(a, 2, "g", 2, 4, 2, false);
 	send_start(a, "g", 2);
-	CU_ASSERT_EQUAL(s.starts, 1);
+	CU_ASSERT_EQUAL(rec.starts, 1);
 	agent_core_free(a);
 }
 
-/* A member that no longer hears the others of its gang stops. */
-static void gang_lease(void)
+/* A gang member stops when the lease with the other members expires. */
+static void gang_lease_expires(void)
 {
-	struct seen s;
-	struct agent_core *a = make_agent(&s);
+	struct recorded rec;
+	struct agent_core *a = make_agent(&rec);
 	struct msg_gang_beat b = {.job = "g", .attempt = 1, .member = 1, .alive = true};
 
 	reserve(a, 2, "g", 1, 4, 2, false);
 	send_start(a, "g", 1);
 	agent_core_gang_beat(a, 4 * NSEC_PER_SEC, &b, "#1");
-	CU_ASSERT(s.gang_alive);
+	CU_ASSERT(rec.gang_alive);
 	agent_core_tick(a, 8 * NSEC_PER_SEC);
-	CU_ASSERT_EQUAL(s.stops, 0);
+	CU_ASSERT_EQUAL(rec.stops, 0);
 	agent_core_tick(a, 10 * NSEC_PER_SEC);
-	CU_ASSERT_EQUAL(s.stops, 1);
+	CU_ASSERT_EQUAL(rec.stops, 1);
 	agent_core_gang_beat(a, 10 * NSEC_PER_SEC, &b, "#1");
-	CU_ASSERT_FALSE(s.gang_alive);
+	CU_ASSERT_FALSE(rec.gang_alive);
 	agent_core_free(a);
 }
 
-/* An announcement that lapses, and a leaving upstream, get no new work. */
-static void announcements_lapse(void)
+/* An upstream whose announcement has expired or that is leaving gets no new work. */
+static void announcements_expire(void)
 {
-	struct seen s;
-	struct agent_core *a = make_agent(&s);
+	struct recorded rec;
+	struct agent_core *a = make_agent(&rec);
 	struct agent_upstream u = *agent_core_upstream(a);
 
 	u.expires = 3 * NSEC_PER_SEC;
@@ -205,16 +212,16 @@
 	agent_core_upstream_announced(a, 0, &u);
 	agent_core_upstream_leaving(a, 0);
 	reserve(a, 2, "j", 1, 1, 1, true);
-	CU_ASSERT_EQUAL(s.starts, 0);
+	CU_ASSERT_EQUAL(rec.starts, 0);
 	agent_core_free(a);
 }
 
 void unit_agent(CU_pSuite s)
 {
-	CU_add_test(s, "old terms are refused", old_terms);
-	CU_add_test(s, "void attempts never start", fences);
-	CU_add_test(s, "slots and accelerators are limits", limits);
-	CU_add_test(s, "members wait at the start gate", start_gate);
-	CU_add_test(s, "members of a gang depend on each other", gang_lease);
-	CU_add_test(s, "announcements lapse", announcements_lapse);
+	CU_add_test(s, "old terms are refused", old_terms_refused);
+	CU_add_test(s, "voided attempts never start", voided_attempts_never_start);
+	CU_add_test(s, "slots and accelerators are not exceeded", capacity_limits);
+	CU_add_test(s, "gang members wait for the start message", gang_waits_for_start);
+	CU_add_test(s, "gang members stop when their lease expires", gang_lease_expires);
+	CU_add_test(s, "announcements expire", announcements_expire);
 }
