--- a/packages/coordination/sched-admit.c
+++ b/packages/coordination/sched-admit.c
@@ -77,27 +77,25 @@
 
 	if (s->declared_workers > 0 && j->accelerators > limit)
 		sched_end(s, j, OUTCOME_NOT_RUN, ERR_IMPOSSIBLE, true,
-			"the job requests %u accelerators with adjacency %s; the cell has at "
-			"most %u",
+			"%u accelerators within %s were asked for; the cell has %u at most",
 			j->accelerators, adjacency_name(j->adjacency), limit);
 	else if (o->quota_accelerators > 0 && j->accelerators > o->quota_accelerators)
 		sched_end(s, j, OUTCOME_NOT_RUN, ERR_QUOTA, true,
-			"the job requests %u accelerators; the quota of its organisation is %u",
-			j->accelerators, o->quota_accelerators);
+			"%u accelerators were asked for; the quota is %u", j->accelerators,
+			o->quota_accelerators);
 	else if (is_excluded_by_guarantees(s, j))
 		sched_end(s, j, OUTCOME_NOT_RUN, ERR_IMPOSSIBLE, true,
-			"a job that cannot be stopped needs accelerators that are guaranteed "
-			"to its organisation or to none; the cell cannot provide %u of them",
+			"a job that cannot be stopped needs its own guarantee or capacity that "
+			"nobody is guaranteed; %u accelerators of that kind there will never "
+			"be",
 			j->accelerators);
 	else if (o->quota_jobs > 0 && o->jobs > o->quota_jobs)
 		sched_end(s, j, OUTCOME_NOT_RUN, ERR_OVERLOAD, true,
-			"the organisation has reached its quota of %u jobs", o->quota_jobs);
+			"the organisation has %u jobs, which is its quota", o->quota_jobs);
 	else if (o->jobs > s->queue_max ||
 		 (class_queue_max > 0 && class_jobs > class_queue_max))
 		sched_end(s, j, OUTCOME_NOT_RUN, ERR_OVERLOAD, true,
-			"the queue limit is reached: the organisation has %u jobs queued or "
-			"running",
-			o->jobs - 1);
+			"%u jobs of the organisation are waiting or running", o->jobs - 1);
 	else
 		return true;
 	return false;
@@ -116,7 +114,7 @@
 		struct sched_job *j = excluded->pdata[i];
 
 		sched_end(s, j, OUTCOME_NOT_RUN, ERR_IMPOSSIBLE, !j->ran,
-			"the configuration changed: the capacity that the job needs is now "
-			"guaranteed to other organisations");
+			"the configuration changed: all that could take the job is guaranteed "
+			"to others");
 	}
 }
--- a/packages/coordination/sched.c
+++ b/packages/coordination/sched.c
@@ -592,8 +592,8 @@
 	}
 	if (!j->idempotent && (e->lost > 0 || j->partial)) {
 		sched_end(s, j, OUTCOME_UNKNOWN, ERR_UNKNOWN_OUTCOME, false,
-			"a worker was lost after it may have started the job; the job is not "
-			"idempotent and is not retried");
+			"a worker was lost after it may have started the job, which must not "
+			"run twice");
 		return;
 	}
 	if (j->stop == SCHED_STOP_PREEMPTED && e->failed == 0) {
@@ -690,7 +690,7 @@
 		struct sched_job *j = expired->pdata[i];
 
 		sched_end(s, j, OUTCOME_NOT_RUN, ERR_DEADLINE, !j->ran,
-			"the deadline passed while the job was queued");
+			"the deadline passed while the job waited");
 	}
 }
 
