--- a/packages/coordination/sched-claim.c
+++ b/packages/coordination/sched-claim.c
@@ -4,25 +4,29 @@
 #include <string.h>
 
 /*
- * An organisation claims its guarantee: the job takes the place at once (its firm use is
- * entered, so nobody else can), the borrowers there are told to stop, and the job begins when
- * they are gone. The wait is bounded by the grace time of a stop.
+ * Preemption. A job that claims resources used by borrowers is assigned to the workers at once,
+ * so that no other job can be placed there. The borrowers are told to stop, and the job starts
+ * when they have stopped. The grace time of a stop bounds the wait.
  */
 
-#define RESTART_COST	(2 * NSEC_PER_SEC)
-#define SLICE		(60 * NSEC_PER_SEC)
-#define LOSS_PART	0.1
-#define URGENT_PATIENCE (2 * NSEC_PER_SEC)
+#define RESTART_COST	(2 * NSEC_PER_SEC)  /* run time lost by any restart */
+#define TIME_SLICE	(60 * NSEC_PER_SEC) /* time that a job waits before it preempts */
+#define LOSS_RATIO_MAX	0.1		    /* of the estimated work of the job that preempts */
+#define URGENT_WAIT_MIN (2 * NSEC_PER_SEC)
 #define URGENT_LOSS_MAX 60.0 /* accelerator-seconds */
 
+/*
+ * A job that may be preempted, its cost per accelerator released on the worker (negative if the
+ * job is stopping already) and the resources that it uses there.
+ */
 struct victim {
 	struct sched_job *job;
 	double cost;
-	struct sched_res here;
+	struct sched_res used;
 };
 
-/* What a job uses on a worker. */
-static struct sched_res used_on(const struct sched_job *j, uint32_t worker)
+/* Returns the resources that a job uses on a worker. */
+static struct sched_res job_usage_on(const struct sched_job *j, uint32_t worker)
 {
 	struct sched_res sum = {0};
 
@@ -33,8 +37,8 @@
 	return sum;
 }
 
-/* Work that stopping a job loses, in accelerator-seconds. */
-static double work_lost(const struct sched_job *j, int64_t now)
+/* Returns the work lost by preempting a job, in accelerator-seconds. */
+static double preemption_loss(const struct sched_job *j, int64_t now)
 {
 	int64_t ran = j->started_at > 0 ? now - j->started_at : 0;
 	int64_t lost = j->checkpoint ? RESTART_COST : ran + RESTART_COST;
@@ -42,6 +46,7 @@
 	return (double)lost / (double)NSEC_PER_SEC * MAX(j->accelerators, 1);
 }
 
+/* Orders victims by cost, then the latest first. */
 static int compare_victims(const void *a, const void *b)
 {
 	const struct victim *x = a;
@@ -52,18 +57,19 @@
 	return x->job->sequence < y->job->sequence ? 1 : -1;
 }
 
-/* Whether a job on a worker may be taken as a victim, or is going already. */
+/* Returns whether a job is a borrower that can be stopped or is stopping already. */
 static bool is_borrower(const struct sched_job *j)
 {
 	return !j->charged && job_stoppable(j) && j->state != SCHED_JOB_CLAIMING;
 }
 
 /*
- * Whether a job that waits may take the place of a borrower outside any guarantee: an urgent
- * one of any that is not; a gang of one that is behind it in the order, and went by while it
- * was blocked. What can go on from a checkpoint has a slice first.
+ * Returns whether a queued job may preempt a borrower outside any guarantee. Urgent
+ * borrowers are never preempted. Jobs that are not urgent may preempt as well, so that a gang
+ * can replace jobs that were placed while it was blocked, but a borrower that can resume from a
+ * checkpoint first gets a time slice.
  */
-static bool may_displace(const struct sched_job *j, const struct sched_job *v, int64_t now)
+static bool may_preempt(const struct sched_job *j, const struct sched_job *v, int64_t now)
 {
 	if (v->state == SCHED_JOB_STOPPING)
 		return true;
@@ -71,12 +77,15 @@
 		return false;
 	if (j->urgent)
 		return true;
-	return !v->checkpoint || now - v->started_at >= SLICE;
+	return !v->checkpoint || now - v->started_at >= TIME_SLICE;
 }
 
-/* Borrowers of a worker, cheapest per freed accelerator first. */
+/*
+ * Returns the borrowers on a worker, lowest cost per released accelerator first. If preemptor
+ * is not NULL, only those that it may preempt outside its guarantee.
+ */
 static GArray *list_victims(
-	const struct sched *s, int64_t now, uint32_t worker, const struct sched_job *turn)
+	const struct sched *s, int64_t now, uint32_t worker, const struct sched_job *preemptor)
 {
 	GArray *list = g_array_new(FALSE, TRUE, sizeof(struct victim));
 
@@ -84,12 +93,12 @@
 		struct sched_job *j = s->active->pdata[i];
 		struct victim v = {.job = j};
 
-		if (!is_borrower(j) || (turn != NULL && !may_displace(turn, j, now)))
+		if (!is_borrower(j) || (preemptor != NULL && !may_preempt(preemptor, j, now)))
 			continue;
-		v.here = used_on(j, worker);
-		if (v.here.slots == 0)
+		v.used = job_usage_on(j, worker);
+		if (v.used.slots == 0)
 			continue;
-		v.cost = work_lost(j, now) / MAX(v.here.accelerators, 1);
+		v.cost = preemption_loss(j, now) / MAX(v.used.accelerators, 1);
 		if (j->state == SCHED_JOB_STOPPING)
 			v.cost = -1;
 		g_array_append_val(list, v);
@@ -98,8 +107,7 @@
 	return list;
 }
 
-/* Whether a set has a job. */
-static bool has_job(const GPtrArray *set, const struct sched_job *j)
+static bool contains_job(const GPtrArray *set, const struct sched_job *j)
 {
 	for (guint i = 0; i < set->len; i++) {
 		if (set->pdata[i] == j)
@@ -108,35 +116,41 @@
 	return false;
 }
 
-/* Choose victims so that need fits on a worker; false where that cannot be. */
+/*
+ * Adds victims until need fits on a worker, and their cost to cost. Victims chosen for other
+ * workers count here as well. Returns false if need does not fit with all borrowers stopped.
+ */
 static bool choose_victims(const struct sched *s, int64_t now, uint32_t worker,
-	const struct sched_res *need, const struct sched_job *turn, GPtrArray *victims,
+	const struct sched_res *need, const struct sched_job *preemptor, GPtrArray *victims,
 	double *cost)
 {
-	struct sched_res room = worker_free(sched_worker_at(s, worker));
-	GArray *list = list_victims(s, now, worker, turn);
+	struct sched_res available = worker_free(sched_worker_at(s, worker));
+	GArray *list = list_victims(s, now, worker, preemptor);
 
 	for (guint i = 0; i < list->len; i++) {
 		const struct victim *v = &g_array_index(list, struct victim, i);
 
-		if (has_job(victims, v->job))
-			res_add(&room, &v->here);
+		if (contains_job(victims, v->job))
+			res_add(&available, &v->used);
 	}
-	for (guint i = 0; i < list->len && !res_fits(need, &room); i++) {
+	for (guint i = 0; i < list->len && !res_fits(need, &available); i++) {
 		const struct victim *v = &g_array_index(list, struct victim, i);
 
-		if (has_job(victims, v->job))
+		if (contains_job(victims, v->job))
 			continue;
-		res_add(&room, &v->here);
+		res_add(&available, &v->used);
 		g_ptr_array_add(victims, v->job);
 		if (v->cost >= 0)
-			*cost += work_lost(v->job, now);
+			*cost += preemption_loss(v->job, now);
 	}
 	g_array_unref(list);
-	return res_fits(need, &room);
+	return res_fits(need, &available);
 }
 
-/* A place for a claim with what it costs to clear it; hold NULL: over several holds. */
+/*
+ * A candidate placement with the jobs that have to be preempted for it and their total cost.
+ * If hold is NULL, the placement may extend over several holds.
+ */
 struct claim {
 	struct fit fit;
 	enum fit_mode mode;
@@ -145,8 +159,8 @@
 	double cost;
 };
 
-/* Take n accelerators on a worker into a claim. */
-static bool claim_part(const struct sched *s, int64_t now, const struct sched_job *j,
+/* Adds a member with n accelerators on a worker; returns false if it cannot be placed. */
+static bool add_member(const struct sched *s, int64_t now, const struct sched_job *j,
 	struct claim *c, uint32_t worker, uint32_t n)
 {
 	struct sched_member *m;
@@ -162,8 +176,8 @@
 		c->victims, &c->cost);
 }
 
-/* Room within the guarantee on the workers of a rack, -1 for all. */
-static uint32_t claim_room(const struct sched *s, int64_t now, const struct sched_job *j,
+/* Returns how many accelerators a worker can take; 0 outside the given rack (-1: any rack). */
+static uint32_t claim_fit_count(const struct sched *s, int64_t now, const struct sched_job *j,
 	const struct claim *c, uint32_t w, int rack)
 {
 	const struct sched_worker *at = sched_worker_at(s, w);
@@ -174,78 +188,86 @@
 	return fit_count(s, j, w, c->mode, c->hold);
 }
 
-/* Try to place a claim over the workers of a rack: most room first, the last part tightly. */
-static bool claim_spread(const struct sched *s, int64_t now, const struct sched_job *j,
+/*
+ * Tries to place a job on several workers of a rack (-1: any rack). Takes the workers that can
+ * take the most accelerators first, and for the last member the one with the fewest to spare.
+ */
+static bool claim_across_workers(const struct sched *s, int64_t now, const struct sched_job *j,
 	int rack, struct claim *c)
 {
-	uint8_t *taken = xcalloc(s->workers->len, 1);
+	uint8_t *selected = xcalloc(s->workers->len, 1);
 	uint32_t n = j->accelerators;
 	bool ok = true;
 
 	while (ok && n > 0) {
-		uint32_t best_room = 0;
+		uint32_t best_count = 0;
 		int best = -1;
 
 		for (uint32_t w = 0; w < s->workers->len; w++) {
-			uint32_t room = taken[w] ? 0 : claim_room(s, now, j, c, w, rack);
+			uint32_t available =
+				selected[w] ? 0 : claim_fit_count(s, now, j, c, w, rack);
 			bool better =
-				best < 0 || (best_room < n ? room > best_room
-							   : room >= n && room < best_room);
+				best < 0 ||
+				(best_count < n ? available > best_count
+						: available >= n && available < best_count);
 
-			if (room > 0 && better) {
+			if (available > 0 && better) {
 				best = (int)w;
-				best_room = room;
+				best_count = available;
 			}
 		}
 		if (best < 0) {
 			ok = false;
 			break;
 		}
-		taken[best] = 1;
-		ok = claim_part(s, now, j, c, (uint32_t)best, MIN(n, best_room));
-		n -= MIN(n, best_room);
+		selected[best] = 1;
+		ok = add_member(s, now, j, c, (uint32_t)best, MIN(n, best_count));
+		n -= MIN(n, best_count);
 	}
-	free(taken);
+	free(selected);
 	return ok;
 }
 
-/* Keep the cheaper of two claims in best; c is emptied. */
-static void keep_cheaper(struct claim *best, bool *have, struct claim *c, bool ok)
+/* Moves c to best if c is valid and cheaper than best; empties c. */
+static void keep_cheaper(struct claim *best, bool *found, struct claim *c, bool ok)
 {
-	if (ok && (!*have || c->cost < best->cost)) {
+	if (ok && (!*found || c->cost < best->cost)) {
 		GPtrArray *old = best->victims;
 
 		*best = *c;
 		c->victims = old;
-		*have = true;
+		*found = true;
 	}
 	g_ptr_array_set_size(c->victims, 0);
 	c->cost = 0;
 	c->fit.len = 0;
 }
 
-/* Find the cheapest place inside a hold, or over all holds where c->hold is NULL. */
-static void find_in(struct sched *s, int64_t now, const struct sched_job *j, struct claim *c,
-	struct claim *best, bool *have)
+/*
+ * Finds the cheapest placement within c->hold, or within all holds if it is NULL. Considers
+ * several workers only if no single worker can take the job.
+ */
+static void find_cheapest(struct sched *s, int64_t now, const struct sched_job *j,
+	struct claim *c, struct claim *best, bool *found)
 {
-	bool found = false;
+	bool fits_one_worker = false;
 
 	for (uint32_t w = 0; w < s->workers->len; w++) {
-		if (claim_room(s, now, j, c, w, -1) < MAX(j->accelerators, 1u))
+		if (claim_fit_count(s, now, j, c, w, -1) < MAX(j->accelerators, 1u))
 			continue;
-		found = true;
-		keep_cheaper(best, have, c, claim_part(s, now, j, c, w, j->accelerators));
+		fits_one_worker = true;
+		keep_cheaper(best, found, c, add_member(s, now, j, c, w, j->accelerators));
 	}
-	if (found || j->accelerators < 2)
+	if (fits_one_worker || j->accelerators < 2)
 		return;
 	for (uint32_t r = 0; j->adjacency != ADJACENCY_WORKER && r < s->racks->len; r++)
-		keep_cheaper(best, have, c, claim_spread(s, now, j, (int)r, c));
-	if (!*have && j->adjacency == ADJACENCY_ANY)
-		keep_cheaper(best, have, c, claim_spread(s, now, j, -1, c));
+		keep_cheaper(best, found, c, claim_across_workers(s, now, j, (int)r, c));
+	if (!*found && j->adjacency == ADJACENCY_ANY)
+		keep_cheaper(best, found, c, claim_across_workers(s, now, j, -1, c));
 }
 
-/* Begin a job where all is free. */
-static void start_at(struct sched *s, int64_t now, struct sched_job *j, const struct fit *f,
+/* Starts a job on resources that are free. */
+static void start_on(struct sched *s, int64_t now, struct sched_job *j, const struct fit *f,
 	bool charged, struct sched_hold *hold)
 {
 	j->decision = (struct sched_decision){
@@ -256,8 +278,12 @@
 	sched_begin_attempt(s, now, j);
 }
 
-/* Start a job inside a hold where all is free, moving the hold there if nobody uses it. */
-static bool start_in(struct sched *s, int64_t now, struct sched_job *j, struct sched_hold *h)
+/*
+ * Starts a job within a hold (NULL: all holds) on free resources. If that fails and the hold is
+ * unused, tries again after moving the hold to free resources.
+ */
+static bool start_in_hold(
+	struct sched *s, int64_t now, struct sched_job *j, struct sched_hold *h)
 {
 	struct fit f;
 
@@ -265,23 +291,23 @@
 		!(h != NULL && hold_movable(h) && plan_move_to_free(s, h) &&
 			fit_job(s, now, j, FIT_CHARGED_FREE, h, &f)))
 		return false;
-	start_at(s, now, j, &f, true, h);
+	start_on(s, now, j, &f, true, h);
 	return true;
 }
 
-/* Start a job outside its guarantee where that costs nobody anything. */
-static bool start_beside(struct sched *s, int64_t now, struct sched_job *j)
+/* Starts a job outside its guarantee if it fits without preemption. */
+static bool start_outside_guarantee(struct sched *s, int64_t now, struct sched_job *j)
 {
 	struct fit f;
 
 	if (!fit_job(s, now, j, job_stoppable(j) ? FIT_BORROWED : FIT_COMMITTED, NULL, &f))
 		return false;
-	start_at(s, now, j, &f, false, NULL);
+	start_on(s, now, j, &f, false, NULL);
 	return true;
 }
 
-/* Take a place from borrowers: they are told to stop, and the job waits for them. */
-static void start_claim(
+/* Assigns a job to its workers and stops the borrowers there; the job waits for them. */
+static void preempt_and_wait(
 	struct sched *s, int64_t now, struct sched_job *j, const struct claim *c)
 {
 	j->decision = (struct sched_decision){.why = SCHED_REASON_CLAIM,
@@ -302,7 +328,7 @@
 	}
 }
 
-/* The least unused first, then the widest adjacency. */
+/* Orders holds by unused accelerators, fewest first, then the widest adjacency first. */
 static int compare_holds(const void *a, const void *b)
 {
 	const struct sched_hold *x = *(struct sched_hold *const *)a;
@@ -313,7 +339,7 @@
 	return x->adjacency < y->adjacency ? -1 : x->adjacency > y->adjacency;
 }
 
-/* The organisation's holds with room for a job, the smallest first. */
+/* Returns the holds of a job's organisation that can take the whole job, smallest first. */
 static GPtrArray *list_holds(const struct sched *s, const struct sched_job *j)
 {
 	GPtrArray *list = g_ptr_array_new();
@@ -328,8 +354,8 @@
 	return list;
 }
 
-/* The end of the run of holds that are as good as the one at from. */
-static guint run_end(const GPtrArray *list, guint from)
+/* Returns the index after the last hold that compares equal to the one at from. */
+static guint equal_holds_end(const GPtrArray *list, guint from)
 {
 	guint to = from + 1;
 
@@ -338,18 +364,21 @@
 	return to;
 }
 
-/* Finish a search: use the place that was found, if there is one. */
-static bool use_claim(
-	struct sched *s, int64_t now, struct sched_job *j, const struct claim *best, bool have)
+/* Starts a job if a placement was found: without preemption if it fits elsewhere. */
+static bool apply_claim(
+	struct sched *s, int64_t now, struct sched_job *j, const struct claim *best, bool found)
 {
-	if (!have)
+	if (!found)
 		return false;
-	if (!start_beside(s, now, j))
-		start_claim(s, now, j, best);
+	if (!start_outside_guarantee(s, now, j))
+		preempt_and_wait(s, now, j, best);
 	return true;
 }
 
-/* Try the smallest holds that take the job whole; larger shapes stay whole for later. */
+/*
+ * Tries the holds that can take the whole job, smallest first, so that larger shapes remain
+ * available for larger jobs.
+ */
 static bool claim_in_holds(
 	struct sched *s, int64_t now, struct sched_job *j, struct claim *best)
 {
@@ -358,51 +387,52 @@
 	bool started = false;
 
 	for (guint from = 0, to; !started && from < list->len; from = to) {
-		bool have = false;
+		bool found = false;
 
-		to = run_end(list, from);
+		to = equal_holds_end(list, from);
 		for (guint i = from; !started && i < to; i++)
-			started = start_in(s, now, j, list->pdata[i]);
+			started = start_in_hold(s, now, j, list->pdata[i]);
 		for (guint i = from; !started && i < to; i++) {
 			c.hold = list->pdata[i];
-			find_in(s, now, j, &c, best, &have);
+			find_cheapest(s, now, j, &c, best, &found);
 		}
-		started = started || use_claim(s, now, j, best, have);
+		started = started || apply_claim(s, now, j, best, found);
 	}
 	g_ptr_array_unref(c.victims);
 	return started;
 }
 
-/* Try all holds together, for a job that is larger than what any one has left. */
-static bool claim_over_holds(
+/* Tries all holds together, for a job that no single hold can take. */
+static bool claim_across_holds(
 	struct sched *s, int64_t now, struct sched_job *j, struct claim *best)
 {
 	struct claim c = {.mode = FIT_CHARGED, .victims = g_ptr_array_new()};
-	bool have = false;
-	bool started = start_in(s, now, j, NULL);
+	bool found = false;
+	bool started = start_in_hold(s, now, j, NULL);
 
 	if (!started)
-		find_in(s, now, j, &c, best, &have);
+		find_cheapest(s, now, j, &c, best, &found);
 	g_ptr_array_unref(c.victims);
-	return started || use_claim(s, now, j, best, have);
+	return started || apply_claim(s, now, j, best, found);
 }
 
 /*
- * Start a job by its organisation's guarantee: on free capacity if there is any, else by
- * stopping borrowers. False where the guarantee has no room for it.
+ * Starts a job within the guarantee of its organisation, on free resources if possible,
+ * otherwise by preempting borrowers. Returns false if the unused guarantee cannot take the job.
  */
 bool claim_start(struct sched *s, int64_t now, struct sched_job *j)
 {
 	struct claim best = {.victims = g_ptr_array_new()};
-	bool started = claim_in_holds(s, now, j, &best) || claim_over_holds(s, now, j, &best);
+	bool started = claim_in_holds(s, now, j, &best) || claim_across_holds(s, now, j, &best);
 
 	g_ptr_array_unref(best.victims);
 	return started;
 }
 
 /*
- * Start a gang that has waited for a slice in the place of borrowers that had theirs. Gangs
- * that outnumber the places so take turns instead of waiting for the longest to end.
+ * Preempts borrowers for a job that has been queued for a time slice, or for URGENT_WAIT_MIN if
+ * it is urgent, and if the work lost is small. Gangs that do not all fit at once thus share the
+ * workers in time slices instead of waiting for the longest of them to end.
  */
 bool claim_time_slice(struct sched *s, int64_t now, struct sched_job *j)
 {
@@ -410,41 +440,41 @@
 	struct claim c = {.mode = job_stoppable(j) ? FIT_BORROWED_AFTER_PREEMPTION
 						   : FIT_COMMITTED_AFTER_PREEMPTION,
 		.victims = g_ptr_array_new()};
-	double worth = (double)j->estimate / (double)NSEC_PER_SEC * j->accelerators;
-	double loss_max = j->urgent ? URGENT_LOSS_MAX : LOSS_PART * worth;
-	bool have = false;
-
-	if (now - j->queued_at >= (j->urgent ? URGENT_PATIENCE : SLICE))
-		find_in(s, now, j, &c, &best, &have);
-	have = have && best.cost <= loss_max;
-	if (have)
-		start_claim(s, now, j, &best);
+	double estimated_work = (double)j->estimate / (double)NSEC_PER_SEC * j->accelerators;
+	double loss_max = j->urgent ? URGENT_LOSS_MAX : LOSS_RATIO_MAX * estimated_work;
+	bool found = false;
+
+	if (now - j->queued_at >= (j->urgent ? URGENT_WAIT_MIN : TIME_SLICE))
+		find_cheapest(s, now, j, &c, &best, &found);
+	found = found && best.cost <= loss_max;
+	if (found)
+		preempt_and_wait(s, now, j, &best);
 	g_ptr_array_unref(c.victims);
 	g_ptr_array_unref(best.victims);
-	return have;
+	return found;
 }
 
-/* Whether all that a claim needs is free. */
-static bool is_cleared(const struct sched *s, const struct sched_job *j)
+/* Returns whether all resources that a claiming job needs are free. */
+static bool resources_free(const struct sched *s, const struct sched_job *j)
 {
 	for (uint32_t i = 0; i < j->members_len; i++) {
 		const struct sched_worker *w = sched_worker_at(s, j->members[i].worker);
-		struct sched_res room = w->capacity;
+		struct sched_res available = w->capacity;
 
-		res_sub(&room, &w->used);
-		if (!w->up || !res_fits(&j->members[i].need, &room))
+		res_sub(&available, &w->used);
+		if (!w->up || !res_fits(&j->members[i].need, &available))
 			return false;
 	}
 	return true;
 }
 
-/* Begin the claims whose place has become free. */
+/* Starts the claiming jobs whose resources have become free. */
 void claim_finish(struct sched *s, int64_t now)
 {
 	for (guint i = 0; i < s->active->len; i++) {
 		struct sched_job *j = s->active->pdata[i];
 
-		if (j->state != SCHED_JOB_CLAIMING || !is_cleared(s, j))
+		if (j->state != SCHED_JOB_CLAIMING || !resources_free(s, j))
 			continue;
 		for (uint32_t m = 0; m < j->members_len; m++) {
 			struct sched_worker *w = sched_worker_at(s, j->members[m].worker);
