--- a/packages/coordination/sched-plan.c
+++ b/packages/coordination/sched-plan.c
@@ -3,8 +3,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* How many more accelerators of a worker can be kept for guarantees. */
-static uint32_t hold_room(const struct sched_worker *w)
+/* Returns how many more accelerators of a worker can be reserved for holds. */
+static uint32_t holdable_accelerators(const struct sched_worker *w)
 {
 	int32_t n = w->capacity.accelerators - w->committed.accelerators - (int32_t)w->held;
 
@@ -20,58 +20,60 @@
 	return 0;
 }
 
-/* The room for holds on all workers, for the packing routine. */
-static GArray *hold_rooms(const struct sched *s)
+/* Returns the accelerators that holds can use on each worker, as input for pack_one. */
+static GArray *list_holdable(const struct sched *s)
 {
-	GArray *rooms =
+	GArray *capacities =
 		g_array_sized_new(FALSE, TRUE, sizeof(struct pack_worker), s->workers->len);
 
 	for (uint32_t i = 0; i < s->workers->len; i++) {
 		struct sched_worker *w = sched_worker_at(s, i);
-		struct pack_worker p = {.rack = w->rack, .free = hold_room(w)};
+		struct pack_worker p = {.rack = w->rack, .free = holdable_accelerators(w)};
 
-		g_array_append_val(rooms, p);
+		g_array_append_val(capacities, p);
 	}
-	return rooms;
+	return capacities;
 }
 
-/* Room for a hold that is also free now. */
-static GArray *free_rooms(const struct sched *s)
+/* Like list_holdable, but counts only accelerators that no job uses. */
+static GArray *list_holdable_free(const struct sched *s)
 {
-	GArray *rooms = hold_rooms(s);
+	GArray *capacities = list_holdable(s);
 
-	for (uint32_t i = 0; i < rooms->len; i++) {
-		struct pack_worker *p = &g_array_index(rooms, struct pack_worker, i);
-		struct sched_res room = worker_free(sched_worker_at(s, i));
+	for (uint32_t i = 0; i < capacities->len; i++) {
+		struct pack_worker *p = &g_array_index(capacities, struct pack_worker, i);
+		struct sched_res available = worker_free(sched_worker_at(s, i));
 
-		p->free = MIN(p->free, (uint32_t)MAX(room.accelerators, 0));
+		p->free = MIN(p->free, (uint32_t)MAX(available.accelerators, 0));
 	}
-	return rooms;
+	return capacities;
 }
 
-/* Find a place for a shape in the given rooms and put a hold there, with what it has already.
+/*
+ * Packs the remaining accelerators of a hold into the given capacities and places the hold
+ * there. pieces holds those that are packed already.
  */
-static bool place_rest(
-	struct sched *s, struct sched_hold *h, uint32_t rest, GArray *rooms, GArray *pieces)
+static bool pack_remaining(struct sched *s, struct sched_hold *h, uint32_t remaining,
+	GArray *capacities, GArray *pieces)
 {
-	struct pack_shape shape = {rest, h->adjacency};
+	struct pack_shape shape = {remaining, h->adjacency};
 
-	if (rest > 0 &&
-		!pack_one(&shape, 0, (struct pack_worker *)rooms->data, rooms->len, pieces))
+	if (remaining > 0 && !pack_one(&shape, 0, (struct pack_worker *)capacities->data,
+				     capacities->len, pieces))
 		return false;
 	hold_place(s, h, pieces);
 	return true;
 }
 
-/* Find a place for a whole hold. */
-static bool place_hold(struct sched *s, struct sched_hold *h, GArray *rooms)
+/* Packs a whole hold into the given capacities and places it there. */
+static bool pack_hold(struct sched *s, struct sched_hold *h, GArray *capacities)
 {
 	g_autoptr(GArray) pieces = g_array_new(FALSE, TRUE, sizeof(struct pack_piece));
 
-	return place_rest(s, h, h->accelerators, rooms, pieces);
+	return pack_remaining(s, h, h->accelerators, capacities, pieces);
 }
 
-/* Number of holds without a place. */
+/* Returns the number of holds that are not placed. */
 static uint32_t count_unplaced(const struct sched *s)
 {
 	uint32_t n = 0;
@@ -81,21 +83,24 @@
 	return n;
 }
 
-/* The place of a hold, to go back to. */
-static GArray *save_place(const struct sched_hold *h)
+/* Returns a copy of the placement of a hold, to restore it later. */
+static GArray *copy_pieces(const struct sched_hold *h)
 {
 	GArray *saved = g_array_new(FALSE, TRUE, sizeof(struct pack_piece));
 
 	for (guint i = 0; i < h->pieces->len; i++) {
 		const struct hold_piece *p = hold_piece_at(h, i);
-		struct pack_piece copy = {0, p->worker, p->accelerators};
+		struct pack_piece piece = {0, p->worker, p->accelerators};
 
-		g_array_append_val(saved, copy);
+		g_array_append_val(saved, piece);
 	}
 	return saved;
 }
 
-/* Tight adjacency first, then the large; as the packing routine has it. */
+/*
+ * Orders holds by adjacency, narrowest first, then by size, largest first. This is the order
+ * that the packing routine uses.
+ */
 static int compare_holds(const void *a, const void *b)
 {
 	const struct sched_hold *x = *(struct sched_hold *const *)a;
@@ -108,121 +113,121 @@
 	return x->org < y->org ? -1 : x->org > y->org;
 }
 
-/* Holds that were lifted together, with the places to go back to. */
-struct lifted {
+/* Holds and their placements before they were unplaced. */
+struct unplaced_holds {
 	GPtrArray *holds;
-	GPtrArray *places;
+	GPtrArray *pieces;
 };
 
-/* Lift all holds that nobody uses. */
-static struct lifted lift_unused(struct sched *s)
+/* Unplaces all holds that no job is charged to. */
+static struct unplaced_holds unplace_unused(struct sched *s)
 {
-	struct lifted l = {g_ptr_array_new(),
+	struct unplaced_holds unplaced = {g_ptr_array_new(),
 		g_ptr_array_new_with_free_func((GDestroyNotify)g_array_unref)};
 
 	for (guint i = 0; i < s->holds->len; i++) {
 		struct sched_hold *h = s->holds->pdata[i];
 
 		if (!h->placed || hold_movable(h))
-			g_ptr_array_add(l.holds, h);
+			g_ptr_array_add(unplaced.holds, h);
 	}
-	g_ptr_array_sort(l.holds, compare_holds);
-	for (guint i = 0; i < l.holds->len; i++) {
-		g_ptr_array_add(l.places, save_place(l.holds->pdata[i]));
-		hold_unplace(s, l.holds->pdata[i]);
+	g_ptr_array_sort(unplaced.holds, compare_holds);
+	for (guint i = 0; i < unplaced.holds->len; i++) {
+		g_ptr_array_add(unplaced.pieces, copy_pieces(unplaced.holds->pdata[i]));
+		hold_unplace(s, unplaced.holds->pdata[i]);
 	}
-	return l;
+	return unplaced;
 }
 
-/* Find new places for lifted holds. */
-static void place_lifted(struct sched *s, const struct lifted *l)
+/* Places holds anew, as far as they fit. */
+static void pack_unplaced(struct sched *s, const struct unplaced_holds *unplaced)
 {
-	g_autoptr(GArray) rooms = hold_rooms(s);
+	g_autoptr(GArray) capacities = list_holdable(s);
 
-	for (guint i = 0; i < l->holds->len; i++) {
-		struct sched_hold *h = l->holds->pdata[i];
+	for (guint i = 0; i < unplaced->holds->len; i++) {
+		struct sched_hold *h = unplaced->holds->pdata[i];
 
 		if (!h->placed)
-			place_hold(s, h, rooms);
+			pack_hold(s, h, capacities);
 	}
 }
 
-/* Put lifted holds back where they were. */
-static void restore_lifted(struct sched *s, const struct lifted *l)
+/* Restores the previous placements of holds. */
+static void restore_holds(struct sched *s, const struct unplaced_holds *unplaced)
 {
-	for (guint i = 0; i < l->holds->len; i++)
-		hold_unplace(s, l->holds->pdata[i]);
-	for (guint i = 0; i < l->holds->len; i++) {
-		GArray *old = l->places->pdata[i];
+	for (guint i = 0; i < unplaced->holds->len; i++)
+		hold_unplace(s, unplaced->holds->pdata[i]);
+	for (guint i = 0; i < unplaced->holds->len; i++) {
+		GArray *saved = unplaced->pieces->pdata[i];
 
-		if (old->len > 0)
-			hold_place(s, l->holds->pdata[i], old);
+		if (saved->len > 0)
+			hold_place(s, unplaced->holds->pdata[i], saved);
 	}
 }
 
-static void lifted_clear(struct lifted *l)
+static void unplaced_holds_clear(struct unplaced_holds *unplaced)
 {
-	g_ptr_array_unref(l->holds);
-	g_ptr_array_unref(l->places);
+	g_ptr_array_unref(unplaced->holds);
+	g_ptr_array_unref(unplaced->pieces);
 }
 
-/* Put all unused holds to places in a better order, if more of them find one. */
+/* Places all unused holds anew; restores the old placements if that places fewer of them. */
 static void repack(struct sched *s)
 {
 	uint32_t before = count_unplaced(s);
-	struct lifted l = lift_unused(s);
+	struct unplaced_holds unplaced = unplace_unused(s);
 
-	place_lifted(s, &l);
+	pack_unplaced(s, &unplaced);
 	if (count_unplaced(s) > before)
-		restore_lifted(s, &l);
-	lifted_clear(&l);
+		restore_holds(s, &unplaced);
+	unplaced_holds_clear(&unplaced);
 }
 
-static void cover_by_any(struct sched *s, struct sched_job *j);
+static void charge_to_any(struct sched *s, struct sched_job *j);
 
 /*
- * Enter a job that cannot be stopped where unused holds are in its way, if these find other
- * places; one of its own organisation's may come to lie around it. False, and nothing changed,
- * where they do not.
+ * Assigns a job that cannot be stopped to workers that unused holds occupy, and places these
+ * holds anew. A hold of the job's own organisation may be placed around the job. Returns false
+ * and changes nothing if more holds than before would be left without a placement.
  */
 bool plan_start_moving_holds(struct sched *s, int64_t now, struct sched_job *j)
 {
 	uint32_t before = count_unplaced(s);
-	struct lifted l = lift_unused(s);
+	struct unplaced_holds unplaced = unplace_unused(s);
 	struct fit f;
 	bool ok = fit_job(s, now, j, FIT_COMMITTED, NULL, &f);
 
 	if (ok)
 		sched_assign(s, j, &f, false, NULL, false);
 	if (ok) {
-		cover_by_any(s, j);
-		place_lifted(s, &l);
+		charge_to_any(s, j);
+		pack_unplaced(s, &unplaced);
 	}
 	if (ok && count_unplaced(s) > before) {
 		sched_release(s, j);
 		ok = false;
 	}
 	if (!ok)
-		restore_lifted(s, &l);
-	lifted_clear(&l);
+		restore_holds(s, &unplaced);
+	unplaced_holds_clear(&unplaced);
 	return ok;
 }
 
-/* Find places for the holds that have none, moving others where that helps. */
+/* Places the holds that are not placed, moving unused ones if necessary. */
 void plan_place_holds(struct sched *s, int64_t now)
 {
-	GArray *rooms;
+	GArray *capacities;
 
 	if (count_unplaced(s) == 0)
 		return;
-	rooms = hold_rooms(s);
+	capacities = list_holdable(s);
 	for (guint i = 0; i < s->holds->len; i++) {
 		struct sched_hold *h = s->holds->pdata[i];
 
 		if (!h->placed)
-			place_hold(s, h, rooms);
+			pack_hold(s, h, capacities);
 	}
-	g_array_unref(rooms);
+	g_array_unref(capacities);
 	if (count_unplaced(s) > 0)
 		repack(s);
 	for (guint i = 0; i < s->holds->len; i++) {
@@ -233,18 +238,18 @@
 	}
 }
 
-/* Whether firm use and unused guarantees no longer fit together on a worker. */
-static bool is_overfull(const struct sched_worker *w)
+/* Returns whether committed resources and unused guarantees exceed a worker's capacity. */
+static bool is_overcommitted(const struct sched_worker *w)
 {
-	struct sched_res room = worker_uncommitted(w);
+	struct sched_res available = worker_uncommitted(w);
 	struct sched_res none = {0};
 
-	return w->up && !res_fits(&none, &room);
+	return w->up && !res_fits(&none, &available);
 }
 
 /*
- * Lift holds from workers where firm use and unused guarantees no longer fit together: those
- * that nobody uses first, then the others.
+ * Unplaces holds on overcommitted workers until they no longer are: unused holds first, then
+ * the others.
  */
 void plan_unplace_overcommitted(struct sched *s)
 {
@@ -253,7 +258,7 @@
 			struct sched_hold *h = s->holds->pdata[i % s->holds->len];
 			bool any = i >= s->holds->len;
 
-			if (!is_overfull(sched_worker_at(s, w)))
+			if (!is_overcommitted(sched_worker_at(s, w)))
 				break;
 			if (hold_is_on(h, w) && (any || hold_movable(h)))
 				hold_unplace(s, h);
@@ -261,7 +266,7 @@
 	}
 }
 
-/* Find a hold of the old document that serves a shape of the new one. */
+/* Returns a hold of the old document that equals a shape of the new one, or NULL. */
 static struct sched_hold *match_hold(
 	struct sched *s, uint32_t org, const struct doc_guarantee *g)
 {
@@ -275,8 +280,8 @@
 	return NULL;
 }
 
-/* Take over or add the holds for one guarantee. */
-static void keep_holds(struct sched *s, uint32_t org, const struct doc_guarantee *g)
+/* Keeps or adds the holds for one guarantee. */
+static void update_holds(struct sched *s, uint32_t org, const struct doc_guarantee *g)
 {
 	for (uint32_t i = 0; i < g->count; i++) {
 		struct sched_hold *h = match_hold(s, org, g);
@@ -290,7 +295,7 @@
 	}
 }
 
-/* Make the holds those of a new document; places that are still right stay. */
+/* Replaces the holds by those of a new document; unchanged holds keep their placement. */
 void plan_set_holds(struct sched *s, int64_t now, const struct doc *d)
 {
 	const struct doc_org *o;
@@ -304,7 +309,7 @@
 		if (o == NULL)
 			continue;
 		STAILQ_FOREACH(g, &o->guarantees, entry)
-		keep_holds(s, i, g);
+		update_holds(s, i, g);
 	}
 	for (guint i = s->holds->len; i-- > 0;) {
 		struct sched_hold *h = s->holds->pdata[i];
@@ -318,8 +323,8 @@
 	plan_place_holds(s, now);
 }
 
-/* Whether a hold keeps accelerators where its owner could not use them now. */
-static bool is_misplaced(const struct sched *s, const struct sched_hold *h)
+/* Returns whether a hold is on a worker where its owner may not be able to start a job. */
+static bool is_on_unavailable(const struct sched *s, const struct sched_hold *h)
 {
 	for (guint i = 0; i < h->pieces->len; i++) {
 		const struct sched_worker *w = sched_worker_at(s, hold_piece_at(h, i)->worker);
@@ -330,25 +335,25 @@
 	return false;
 }
 
-/* Move the unused holds away from workers that take no work, where there is room elsewhere. */
+/* Moves unused holds away from workers that accept no or only some jobs, if possible. */
 void plan_move_from_unavailable(struct sched *s)
 {
 	for (guint i = 0; i < s->holds->len; i++) {
 		struct sched_hold *h = s->holds->pdata[i];
-		g_autoptr(GArray) old = NULL;
-		g_autoptr(GArray) rooms = NULL;
+		g_autoptr(GArray) saved = NULL;
+		g_autoptr(GArray) capacities = NULL;
 
-		if (!hold_movable(h) || !is_misplaced(s, h))
+		if (!hold_movable(h) || !is_on_unavailable(s, h))
 			continue;
-		old = save_place(h);
+		saved = copy_pieces(h);
 		hold_unplace(s, h);
-		rooms = hold_rooms(s);
-		if (!place_hold(s, h, rooms))
-			hold_place(s, h, old);
+		capacities = list_holdable(s);
+		if (!pack_hold(s, h, capacities))
+			hold_place(s, h, saved);
 	}
 }
 
-/* A worker is gone: its holds need new places. */
+/* Places the holds of a lost worker on other workers. */
 void plan_worker_down(struct sched *s, int64_t now, uint32_t worker)
 {
 	for (guint i = 0; i < s->holds->len; i++) {
@@ -361,25 +366,24 @@
 	plan_place_holds(s, now);
 }
 
-/* Move an unused hold to where all is free; false, and nothing changed, where that is nowhere.
- */
+/* Moves an unused hold to free accelerators; returns false if it does not fit and stays. */
 bool plan_move_to_free(struct sched *s, struct sched_hold *h)
 {
-	g_autoptr(GArray) old = save_place(h);
-	g_autoptr(GArray) rooms = NULL;
+	g_autoptr(GArray) saved = copy_pieces(h);
+	g_autoptr(GArray) capacities = NULL;
 
 	hold_unplace(s, h);
-	rooms = free_rooms(s);
-	if (place_hold(s, h, rooms)) {
+	capacities = list_holdable_free(s);
+	if (pack_hold(s, h, capacities)) {
 		s->counts.moved_holds++;
 		return true;
 	}
-	hold_place(s, h, old);
+	hold_place(s, h, saved);
 	return false;
 }
 
-/* Whether a job's place would be a legal part of a hold. */
-static bool hold_suits(
+/* Returns whether a hold that is not placed can be placed around a job. */
+static bool can_include_job(
 	const struct sched *s, const struct sched_hold *h, const struct sched_job *j)
 {
 	const struct sched_worker *first = sched_worker_at(s, j->members[0].worker);
@@ -396,7 +400,7 @@
 	return true;
 }
 
-/* Whether each member stays within the proportional share of its worker. */
+/* Returns whether each member stays within the proportional share of its worker. */
 static bool is_chargeable(const struct sched *s, const struct sched_job *j)
 {
 	for (uint32_t i = 0; i < j->members_len; i++) {
@@ -408,12 +412,16 @@
 	return j->accelerators > 0 && j->members_len > 0;
 }
 
-/* Take a job's members out of the rooms as the first pieces; false where they do not fit. */
-static bool take_members(const struct sched_job *j, GArray *rooms, GArray *pieces)
+/*
+ * Adds the members of a job to pieces and subtracts them from the capacities; returns false if
+ * they do not fit.
+ */
+static bool add_members(const struct sched_job *j, GArray *capacities, GArray *pieces)
 {
 	for (uint32_t i = 0; i < j->members_len; i++) {
 		const struct sched_member *m = &j->members[i];
-		struct pack_worker *p = &g_array_index(rooms, struct pack_worker, m->worker);
+		struct pack_worker *p =
+			&g_array_index(capacities, struct pack_worker, m->worker);
 		struct pack_piece piece = {0, m->worker, m->accelerators};
 
 		if (p->free < m->accelerators)
@@ -424,14 +432,14 @@
 	return true;
 }
 
-/* Leave only the rooms that are close enough to a job's first member. */
-static void keep_near(
-	const struct sched *s, const struct sched_hold *h, uint32_t worker, GArray *rooms)
+/* Clears the capacities of workers that are not within the hold's adjacency of a worker. */
+static void keep_adjacent(
+	const struct sched *s, const struct sched_hold *h, uint32_t worker, GArray *capacities)
 {
 	uint32_t rack = sched_worker_at(s, worker)->rack;
 
-	for (uint32_t i = 0; i < rooms->len; i++) {
-		struct pack_worker *p = &g_array_index(rooms, struct pack_worker, i);
+	for (uint32_t i = 0; i < capacities->len; i++) {
+		struct pack_worker *p = &g_array_index(capacities, struct pack_worker, i);
 
 		if ((h->adjacency == ADJACENCY_WORKER && i != worker) ||
 			(h->adjacency == ADJACENCY_RACK && p->rack != rack))
@@ -439,19 +447,19 @@
 	}
 }
 
-/* Place a hold around a running job and charge the job to it. */
-static bool cover_job(struct sched *s, struct sched_hold *h, struct sched_job *j)
+/* Places a hold around a job and charges the job to it. */
+static bool place_around_job(struct sched *s, struct sched_hold *h, struct sched_job *j)
 {
 	g_autoptr(GArray) pieces = g_array_new(FALSE, TRUE, sizeof(struct pack_piece));
-	g_autoptr(GArray) rooms = NULL;
+	g_autoptr(GArray) capacities = NULL;
 	bool ok;
 
 	committed_clear(s, j);
-	rooms = hold_rooms(s);
-	ok = take_members(j, rooms, pieces);
+	capacities = list_holdable(s);
+	ok = add_members(j, capacities, pieces);
 	if (ok)
-		keep_near(s, h, j->members[0].worker, rooms);
-	ok = ok && place_rest(s, h, h->accelerators - j->accelerators, rooms, pieces);
+		keep_adjacent(s, h, j->members[0].worker, capacities);
+	ok = ok && pack_remaining(s, h, h->accelerators - j->accelerators, capacities, pieces);
 	if (ok)
 		hold_charge(s, j, h);
 	else
@@ -459,8 +467,8 @@
 	return ok;
 }
 
-/* Accelerators of a member that no hold covers yet. */
-static uint32_t uncovered(const struct sched_job *j, const struct sched_member *m)
+/* Returns the accelerators of a member that are not charged to a hold. */
+static uint32_t uncharged_accelerators(const struct sched_job *j, const struct sched_member *m)
 {
 	uint32_t n = m->accelerators;
 
@@ -473,21 +481,22 @@
 	return n;
 }
 
-/* Place a hold that is smaller than a job inside it. */
-static bool cover_part(struct sched *s, struct sched_hold *h, struct sched_job *j)
+/* Places a hold that is smaller than a job within it and charges the job to it. */
+static bool place_inside_job(struct sched *s, struct sched_hold *h, struct sched_job *j)
 {
-	g_autoptr(GArray) rooms = g_array_new(FALSE, TRUE, sizeof(struct pack_worker));
+	g_autoptr(GArray) capacities = g_array_new(FALSE, TRUE, sizeof(struct pack_worker));
 	g_autoptr(GArray) pieces = g_array_new(FALSE, TRUE, sizeof(struct pack_piece));
 	struct pack_shape shape = {h->accelerators, h->adjacency};
 
 	for (uint32_t i = 0; i < j->members_len; i++) {
 		struct pack_worker p = {.rack = sched_worker_at(s, j->members[i].worker)->rack,
-			.free = uncovered(j, &j->members[i])};
+			.free = uncharged_accelerators(j, &j->members[i])};
 
-		g_array_append_val(rooms, p);
+		g_array_append_val(capacities, p);
 	}
 	if (h->placed || h->org != j->org ||
-		!pack_one(&shape, 0, (struct pack_worker *)rooms->data, rooms->len, pieces))
+		!pack_one(&shape, 0, (struct pack_worker *)capacities->data, capacities->len,
+			pieces))
 		return false;
 	for (guint i = 0; i < pieces->len; i++) {
 		struct pack_piece *p = &g_array_index(pieces, struct pack_piece, i);
@@ -499,33 +508,39 @@
 	return true;
 }
 
-/* Place the first hold that suits around a job, or else smaller ones inside it. */
-static void cover_by_any(struct sched *s, struct sched_job *j)
+/*
+ * Places a hold around a job or, if there is none and the job cannot be stopped, smaller ones
+ * within it.
+ */
+static void charge_to_any(struct sched *s, struct sched_job *j)
 {
 	if (!is_chargeable(s, j))
 		return;
 	for (guint k = 0; k < s->holds->len; k++) {
 		struct sched_hold *h = s->holds->pdata[k];
 
-		if (hold_suits(s, h, j) && cover_job(s, h, j))
+		if (can_include_job(s, h, j) && place_around_job(s, h, j))
 			return;
 	}
 	for (guint k = 0; !job_stoppable(j) && k < s->holds->len; k++)
-		cover_part(s, s->holds->pdata[k], j);
+		place_inside_job(s, s->holds->pdata[k], j);
 }
 
-/* Place holds around running jobs that no hold covers; those that cannot be stopped first. */
+/*
+ * Places holds around running jobs that are not charged to any, starting with jobs that cannot
+ * be stopped.
+ */
 void plan_charge_running(struct sched *s)
 {
 	if (count_unplaced(s) == 0)
 		return;
-	for (int round = 0; round < 2; round++) {
+	for (int pass = 0; pass < 2; pass++) {
 		for (guint i = 0; i < s->active->len; i++) {
 			struct sched_job *j = s->active->pdata[i];
 
 			if (!j->charged && j->state == SCHED_JOB_RUNNING &&
-				job_stoppable(j) == (round == 1))
-				cover_by_any(s, j);
+				job_stoppable(j) == (pass == 1))
+				charge_to_any(s, j);
 		}
 	}
 }
