--- a/packages/coordination/sched-hold.c
+++ b/packages/coordination/sched-hold.c
@@ -3,8 +3,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* The cell of an organisation's table of unused guaranteed accelerators per worker. */
-static uint32_t *left_cell(const struct sched *s, uint32_t org, uint32_t worker)
+/* Returns the entry for a worker in an organisation's table of unused guarantees. */
+static uint32_t *unused_entry(const struct sched *s, uint32_t org, uint32_t worker)
 {
 	GArray *table = sched_org_at(s, org)->unused_guarantee;
 
@@ -13,13 +13,13 @@
 	return &g_array_index(table, uint32_t, worker);
 }
 
-/* Guaranteed accelerators on a worker that the organisation does not use. */
+/* Returns the guaranteed accelerators on a worker that their organisation does not use. */
 uint32_t org_unused(const struct sched *s, uint32_t org, uint32_t worker)
 {
-	return *left_cell(s, org, worker);
+	return *unused_entry(s, org, worker);
 }
 
-/* A hold without a place. */
+/* Returns a new hold that is not placed. */
 struct sched_hold *hold_new(uint32_t org, const struct doc_guarantee *g)
 {
 	struct sched_hold *h = xcalloc(1, sizeof(*h));
@@ -31,7 +31,6 @@
 	return h;
 }
 
-/* Free a hold. */
 void hold_free(void *p)
 {
 	struct sched_hold *h = p;
@@ -40,13 +39,12 @@
 	free(h);
 }
 
-/* A piece of a hold by index. */
 struct hold_piece *hold_piece_at(const struct sched_hold *h, guint i)
 {
 	return &g_array_index(h->pieces, struct hold_piece, i);
 }
 
-/* The piece of a hold on a worker; NULL for none. */
+/* Returns the piece of a hold on a worker, or NULL. */
 static struct hold_piece *piece_on(const struct sched_hold *h, uint32_t worker)
 {
 	for (guint i = 0; i < h->pieces->len; i++) {
@@ -56,7 +54,7 @@
 	return NULL;
 }
 
-/* Unused accelerators of a hold on a worker. */
+/* Returns the accelerators of a hold on a worker that are not charged to jobs. */
 uint32_t hold_unused_on(const struct sched_hold *h, uint32_t worker)
 {
 	const struct hold_piece *p = piece_on(h, worker);
@@ -64,7 +62,7 @@
 	return p != NULL ? p->accelerators - p->used : 0;
 }
 
-/* Unused accelerators of a hold that has a place. */
+/* Returns the accelerators of a hold that are not charged to jobs; 0 if it is not placed. */
 uint32_t hold_unused(const struct sched_hold *h)
 {
 	uint32_t sum = 0;
@@ -74,79 +72,79 @@
 	return sum;
 }
 
-/* Whether a hold has a place that nobody uses. */
+/* Returns whether a hold is placed and no job is charged to it, so that it can be moved. */
 bool hold_movable(const struct sched_hold *h)
 {
 	return h->placed && hold_unused(h) == h->accelerators;
 }
 
-/* Whether a hold keeps accelerators on a worker. */
+/* Returns whether a hold has a piece on a worker. */
 bool hold_is_on(const struct sched_hold *h, uint32_t worker)
 {
 	return piece_on(h, worker) != NULL;
 }
 
-/* Change what is unused on a worker, in all books. */
-static void add_left(struct sched *s, uint32_t org, uint32_t worker, uint32_t n)
+/* Adds to the unused guarantees on a worker, for the organisation and for the worker. */
+static void add_unused(struct sched *s, uint32_t org, uint32_t worker, uint32_t n)
 {
-	*left_cell(s, org, worker) += n;
+	*unused_entry(s, org, worker) += n;
 	sched_worker_at(s, worker)->held += n;
 }
 
-static void sub_left(struct sched *s, uint32_t org, uint32_t worker, uint32_t n)
+static void sub_unused(struct sched *s, uint32_t org, uint32_t worker, uint32_t n)
 {
-	*left_cell(s, org, worker) -= n;
+	*unused_entry(s, org, worker) -= n;
 	sched_worker_at(s, worker)->held -= n;
 }
 
-/* Put a hold where it was packed; pieces on one worker become one. */
+/* Places a hold according to a packing result; merges the pieces on the same worker. */
 void hold_place(struct sched *s, struct sched_hold *h, const GArray *pieces)
 {
 	g_array_set_size(h->pieces, 0);
 	for (guint i = 0; i < pieces->len; i++) {
 		const struct pack_piece *p = &g_array_index(pieces, struct pack_piece, i);
-		struct hold_piece *have = piece_on(h, p->worker);
-		struct hold_piece fresh = {p->worker, p->accelerators, 0};
+		struct hold_piece *existing = piece_on(h, p->worker);
+		struct hold_piece added = {p->worker, p->accelerators, 0};
 
-		if (have != NULL)
-			have->accelerators += p->accelerators;
+		if (existing != NULL)
+			existing->accelerators += p->accelerators;
 		else
-			g_array_append_val(h->pieces, fresh);
-		add_left(s, h->org, p->worker, p->accelerators);
+			g_array_append_val(h->pieces, added);
+		add_unused(s, h->org, p->worker, p->accelerators);
 	}
 	h->placed = true;
 	h->impossible_since = 0;
 }
 
-/* Take a hold from its place; what was charged to it is no longer. */
+/* Removes the placement of a hold and all charges to it. */
 void hold_unplace(struct sched *s, struct sched_hold *h)
 {
 	hold_drop_charges(s, h);
 	for (guint i = 0; i < h->pieces->len; i++)
-		sub_left(s, h->org, hold_piece_at(h, i)->worker,
+		sub_unused(s, h->org, hold_piece_at(h, i)->worker,
 			hold_piece_at(h, i)->accelerators);
 	g_array_set_size(h->pieces, 0);
 	h->placed = false;
 }
 
-/* Charge some accelerators of a job to a hold; returns how many. */
-static uint32_t charge_some(
+/* Charges up to n accelerators of a job to a hold on a worker; returns how many. */
+static uint32_t charge_up_to(
 	struct sched *s, struct sched_job *j, struct sched_hold *h, uint32_t worker, uint32_t n)
 {
 	struct hold_piece *p = h->placed && h->org == j->org ? piece_on(h, worker) : NULL;
-	uint32_t part = p != NULL ? MIN(n, p->accelerators - p->used) : 0;
-	struct sched_charge c = {h, worker, part};
+	uint32_t count = p != NULL ? MIN(n, p->accelerators - p->used) : 0;
+	struct sched_charge c = {h, worker, count};
 
-	if (part == 0)
+	if (count == 0)
 		return 0;
-	p->used += part;
-	sub_left(s, h->org, worker, part);
+	p->used += count;
+	sub_unused(s, h->org, worker, count);
 	g_array_append_val(j->charges, c);
-	return part;
+	return count;
 }
 
-/* Accelerators of a member that are charged. */
-static uint32_t charged_part(const struct sched_job *j, const struct sched_member *m)
+/* Returns how many accelerators of a member are charged to holds. */
+static uint32_t charged_accelerators(const struct sched_job *j, const struct sched_member *m)
 {
 	uint32_t n = 0;
 
@@ -159,7 +157,7 @@
 	return n;
 }
 
-/* Take a job's firm use out of the books. */
+/* Subtracts a job from the committed resources of its workers. */
 void committed_clear(struct sched *s, struct sched_job *j)
 {
 	for (uint32_t i = 0; i < j->members_len; i++) {
@@ -171,8 +169,9 @@
 }
 
 /*
- * Enter a job's firm use anew. A charged member counts with the whole share of what it is
- * charged, so that the share is there again when the hold is unused.
+ * Updates the committed resources of a job and its workers. A charged member counts with at
+ * least the share of its charged accelerators, so that this share is available to the hold when
+ * the job has ended.
  */
 void committed_update(struct sched *s, struct sched_job *j)
 {
@@ -180,7 +179,7 @@
 	for (uint32_t i = 0; (j->charged || !job_stoppable(j)) && i < j->members_len; i++) {
 		struct sched_member *m = &j->members[i];
 		struct sched_worker *w = sched_worker_at(s, m->worker);
-		struct sched_res share = res_share(&w->capacity, charged_part(j, m));
+		struct sched_res share = res_share(&w->capacity, charged_accelerators(j, m));
 
 		m->committed = m->need;
 		m->committed.slots = MAX(m->committed.slots, share.slots);
@@ -190,7 +189,7 @@
 	}
 }
 
-/* Charge all of a hold to a job that covers it. */
+/* Charges a job for a hold that was placed within it. */
 void hold_charge_all(struct sched *s, struct sched_job *j, struct sched_hold *h)
 {
 	if (j->charges == NULL)
@@ -198,14 +197,17 @@
 	for (guint i = 0; i < h->pieces->len; i++) {
 		const struct hold_piece *p = hold_piece_at(h, i);
 
-		charge_some(s, j, h, p->worker, p->accelerators);
+		charge_up_to(s, j, h, p->worker, p->accelerators);
 	}
 	j->charged = true;
 	committed_update(s, j);
 }
 
-/* The hold of a job's organisation on a worker with the least unused; NULL for none. */
-static struct sched_hold *smallest_on(
+/*
+ * Returns the hold of a job's organisation with the fewest unused accelerators among those that
+ * have unused accelerators on a worker, or NULL.
+ */
+static struct sched_hold *smallest_hold_on(
 	const struct sched *s, const struct sched_job *j, uint32_t worker)
 {
 	struct sched_hold *best = NULL;
@@ -221,8 +223,9 @@
 }
 
 /*
- * Charge a job's members to its organisation's holds: to the given one first, then to the
- * smallest, so that large shapes stay whole. The room must have been checked.
+ * Charges the members of a job to holds of its organisation: to the given one first, then to
+ * the smallest ones, so that large shapes remain available. The caller must have checked that
+ * the holds suffice.
  */
 void hold_charge(struct sched *s, struct sched_job *j, struct sched_hold *first)
 {
@@ -235,8 +238,8 @@
 
 		while (n > 0) {
 			if (h != NULL)
-				n -= charge_some(s, j, h, worker, n);
-			h = n > 0 ? smallest_on(s, j, worker) : NULL;
+				n -= charge_up_to(s, j, h, worker, n);
+			h = n > 0 ? smallest_hold_on(s, j, worker) : NULL;
 			if (n > 0 && h == NULL)
 				abort();
 		}
@@ -245,29 +248,29 @@
 	committed_update(s, j);
 }
 
-/* Give one charge back. */
-static void return_charge(struct sched *s, const struct sched_charge *c)
+/* Returns the accelerators of a charge to its hold. */
+static void revert_charge(struct sched *s, const struct sched_charge *c)
 {
 	struct hold_piece *p = piece_on(c->hold, c->worker);
 
 	p->used -= c->accelerators;
-	add_left(s, c->hold->org, c->worker, c->accelerators);
+	add_unused(s, c->hold->org, c->worker, c->accelerators);
 }
 
-/* Give back all that a job is charged. */
+/* Removes all charges of a job. */
 void hold_uncharge(struct sched *s, struct sched_job *j)
 {
 	for (guint i = 0; j->charges != NULL && i < j->charges->len; i++)
-		return_charge(s, &g_array_index(j->charges, struct sched_charge, i));
+		revert_charge(s, &g_array_index(j->charges, struct sched_charge, i));
 	if (j->charges != NULL)
 		g_array_set_size(j->charges, 0);
 	j->charged = false;
 }
 
-/* Drop a job's charges to one hold; true where there were any. */
-static bool drop_charges_of(struct sched *s, struct sched_job *j, const struct sched_hold *h)
+/* Removes the charges of a job to a hold; returns whether there were any. */
+static bool drop_job_charges(struct sched *s, struct sched_job *j, const struct sched_hold *h)
 {
-	bool any = false;
+	bool dropped = false;
 
 	for (guint i = j->charges != NULL ? j->charges->len : 0; i-- > 0;) {
 		const struct sched_charge *c =
@@ -275,23 +278,24 @@
 
 		if (c->hold != h)
 			continue;
-		return_charge(s, c);
+		revert_charge(s, c);
 		g_array_remove_index_fast(j->charges, i);
-		any = true;
+		dropped = true;
 	}
-	return any;
+	return dropped;
 }
 
 /*
- * Drop all charges to a hold. A job that is left without any is protected no longer; one that
- * was waiting for its place goes back into the queue.
+ * Removes all charges to a hold. A job that was waiting for borrowers to stop is queued again.
+ * A job without any remaining charge becomes a borrower and can be preempted if it is
+ * stoppable.
  */
 void hold_drop_charges(struct sched *s, struct sched_hold *h)
 {
 	g_autoptr(GPtrArray) jobs = g_ptr_array_new();
 
 	for (guint i = 0; i < s->active->len; i++) {
-		if (drop_charges_of(s, s->active->pdata[i], h))
+		if (drop_job_charges(s, s->active->pdata[i], h))
 			g_ptr_array_add(jobs, s->active->pdata[i]);
 	}
 	for (guint i = 0; i < jobs->len; i++) {
