--- a/packages/coordination/sched-claim.c
+++ b/packages/coordination/sched-claim.c
@@ -9,9 +9,12 @@
  * when they have stopped. The grace time of a stop bounds the wait.
  */
 
-#define RESTART_COST	(2 * NSEC_PER_SEC)  /* run time lost by any restart */
-#define TIME_SLICE	(60 * NSEC_PER_SEC) /* time that a job waits before it preempts */
-#define LOSS_RATIO_MAX	0.1		    /* of the estimated work of the job that preempts */
+#define RESTART_COST (2 * NSEC_PER_SEC) /* run time lost by any restart */
+/* Minimum wait before a job preempts, and minimum run time before a checkpointing job is
+ * preempted. */
+#define TIME_SLICE     (60 * NSEC_PER_SEC)
+#define LOSS_RATIO_MAX 0.1 /* of the estimated work of the job that preempts */
+/* The same two limits for urgent jobs. */
 #define URGENT_WAIT_MIN (2 * NSEC_PER_SEC)
 #define URGENT_LOSS_MAX 60.0 /* accelerator-seconds */
 
@@ -64,9 +67,9 @@
 }
 
 /*
- * Returns whether a queued job may preempt a borrower outside any guarantee. Urgent
- * borrowers are never preempted. Jobs that are not urgent may preempt as well, so that a gang
- * can replace jobs that were placed while it was blocked, but a borrower that can resume from a
+ * Returns whether a queued job may preempt a borrower outside any guarantee. Urgent borrowers
+ * are not preempted there. A job that is not urgent may preempt as well, so that a gang can
+ * replace jobs that were placed while it was blocked, but a borrower that can resume from a
  * checkpoint first gets a time slice.
  */
 static bool may_preempt(const struct sched_job *j, const struct sched_job *v, int64_t now)
