--- a/packages/coordination/sched-view.c
+++ b/packages/coordination/sched-view.c
@@ -5,12 +5,12 @@
 static const char *const state_names[] = {
 	"queued", "claiming", "placing", "running", "stopping", "ended"};
 
-/* What each reason means, and what would help. */
-static const struct why_text {
+/* Names and explanations of the reasons, and what would unblock the job; sent to callers. */
+static const struct reason_text {
 	const char *name;
 	const char *text;
 	const char *unblock;
-} why_texts[] = {
+} reason_texts[] = {
 	[SCHED_REASON_NEW] = {"new", "it has just come and is looked at in the next pass", ""},
 	[SCHED_REASON_GUARANTEE] = {"guarantee",
 		"it was placed inside its organisation's guarantee on free accelerators", ""},
@@ -41,36 +41,35 @@
 		"accelerators have to come free"},
 };
 
-/* Number of organisations that were ever known. */
+/* Returns the number of organisations, including those no longer configured. */
 size_t sched_org_count(const struct sched *s)
 {
 	return s->orgs->len;
 }
 
-/* An organisation's name. */
 const char *sched_org_name(const struct sched *s, uint32_t org)
 {
 	return sched_org_at(s, org)->name;
 }
 
-/* Accelerators of an organisation that borrowers of others use now, per worker. */
-static uint32_t lent_by(const struct sched *s, uint32_t org)
+/* Returns the guaranteed accelerators of an organisation that borrowers use. */
+static uint32_t lent_accelerators(const struct sched *s, uint32_t org)
 {
 	uint32_t sum = 0;
 
 	for (uint32_t i = 0; i < s->workers->len; i++) {
 		const struct sched_worker *w = sched_worker_at(s, i);
-		int32_t unheld = w->capacity.accelerators - w->used.accelerators;
-		int32_t lent = (int32_t)w->held - MAX(unheld, 0);
-		uint32_t left = org_unused(s, org, i);
+		int32_t free_accelerators = w->capacity.accelerators - w->used.accelerators;
+		int32_t lent = (int32_t)w->held - MAX(free_accelerators, 0);
+		uint32_t unused = org_unused(s, org, i);
 
 		if (w->up && lent > 0)
-			sum += MIN((uint32_t)lent, left);
+			sum += MIN((uint32_t)lent, unused);
 	}
 	return sum;
 }
 
-/* What an organisation is guaranteed, uses, borrows and lends, in accelerators. */
+/* Fills in the accelerators that an organisation is guaranteed, uses, borrows and lends. */
 void sched_org_view(const struct sched *s, uint32_t org, struct sched_org_view *out)
 {
 	const struct sched_org *o = sched_org_at(s, org);
@@ -85,7 +84,7 @@
 			out->used_guaranteed += h->accelerators - hold_unused(h);
 	}
 	out->borrowed = o->running_accelerators - out->used_guaranteed;
-	out->lent = lent_by(s, org);
+	out->lent = lent_accelerators(s, org);
 	for (guint i = 0; i < s->holds->len; i++) {
 		const struct sched_hold *h = s->holds->pdata[i];
 
@@ -95,19 +94,18 @@
 	out->queued = (uint32_t)g_tree_nnodes(o->queue);
 }
 
-/* Number of workers that were ever known. */
+/* Returns the number of workers, including lost ones. */
 size_t sched_worker_count(const struct sched *s)
 {
 	return s->workers->len;
 }
 
-/* A worker's name. */
 const char *sched_worker_name(const struct sched *s, uint32_t worker)
 {
 	return sched_worker_at(s, worker)->name;
 }
 
-/* A worker's state; promised is what is guaranteed there and not used by its owners. */
+/* Fills in the state of a worker; promised counts its unused guaranteed accelerators. */
 void sched_worker_view(const struct sched *s, uint32_t worker, struct sched_worker_view *out)
 {
 	const struct sched_worker *w = sched_worker_at(s, worker);
@@ -125,7 +123,7 @@
 	};
 }
 
-/* What is free in the cell, by adjacency, and how long the oldest job waits. */
+/* Fills in the free accelerators of the cell and the time that the oldest job has waited. */
 void sched_free_view(const struct sched *s, int64_t now, struct sched_free_view *out)
 {
 	uint32_t *racks = xcalloc(s->racks->len, sizeof(*racks));
@@ -133,8 +131,8 @@
 	memset(out, 0, sizeof(*out));
 	for (uint32_t i = 0; i < s->workers->len; i++) {
 		const struct sched_worker *w = sched_worker_at(s, i);
-		struct sched_res room = worker_free(w);
-		uint32_t n = room.accelerators > 0 ? (uint32_t)room.accelerators : 0;
+		struct sched_res available = worker_free(w);
+		uint32_t n = available.accelerators > 0 ? (uint32_t)available.accelerators : 0;
 
 		if (!w->up)
 			continue;
@@ -156,7 +154,7 @@
 	out->fragmentation = fit_fragmentation(s);
 }
 
-/* The members of a job as JSON. */
+/* Returns the members of a job as JSON. */
 static json_t *members_json(const struct sched *s, const struct sched_job *j)
 {
 	json_t *out = json_array();
@@ -172,33 +170,34 @@
 	return out;
 }
 
-/* Why a job waits, or why it went where it went; NULL for an unknown job. */
+/* Returns the reason why a job is waiting or was placed, or NULL if the job is unknown. */
 json_t *sched_explain(struct sched *s, int64_t now, job_ref job)
 {
 	const struct sched_job *j = sched_job(s, job);
 	const struct sched_decision *d;
-	const struct why_text *why;
-	uint32_t left = 0;
+	const struct reason_text *reason;
+	uint32_t unused = 0;
 	json_t *o;
 
 	if (j == NULL)
 		return NULL;
 	d = &j->decision;
-	why = &why_texts[s->settling && j->state == SCHED_JOB_QUEUED ? SCHED_REASON_SETTLING
-								     : d->why];
+	reason = &reason_texts[s->settling && j->state == SCHED_JOB_QUEUED
+				       ? SCHED_REASON_SETTLING
+				       : d->why];
 	for (uint32_t i = 0; i < s->workers->len; i++)
-		left += org_unused(s, j->org, i);
+		unused += org_unused(s, j->org, i);
 	o = json_pack("{s:s,s:s,s:s,s:s,s:s,s:I,s:i,s:i,s:b}", "state", state_names[j->state],
-		"reason", why->name, "text", why->text, "unblock", why->unblock, "adjacency",
-		adjacency_name(j->adjacency), "accelerators", (json_int_t)j->accelerators,
-		"attempt", (int)j->attempt, "preemptions", (int)j->preemptions, "guaranteed",
-		j->charged);
+		"reason", reason->name, "text", reason->text, "unblock", reason->unblock,
+		"adjacency", adjacency_name(j->adjacency), "accelerators",
+		(json_int_t)j->accelerators, "attempt", (int)j->attempt, "preemptions",
+		(int)j->preemptions, "guaranteed", j->charged);
 	json_object_set_new(o, "waiting_ms",
 		json_integer((j->placed_at > 0 ? j->placed_at : now) / NSEC_PER_MSEC -
 			     j->submitted / NSEC_PER_MSEC));
 	json_object_set_new(o, "workers_considered", json_integer(d->considered));
 	json_object_set_new(o, "largest_fit", json_integer(d->largest_free));
-	json_object_set_new(o, "guarantee_left", json_integer(left));
+	json_object_set_new(o, "guarantee_left", json_integer(unused));
 	json_object_set_new(o, "ahead", json_integer(d->jobs_ahead));
 	json_object_set_new(o, "borrowers_stopped", json_integer(d->victims));
 	json_object_set_new(o, "estimate_ms", json_integer(j->estimate / NSEC_PER_MSEC));
