--- a/packages/coordination/sched-check.c
+++ b/packages/coordination/sched-check.c
@@ -2,62 +2,63 @@
 
 #include <string.h>
 
-/* What the jobs on a worker add up to. */
-struct sums {
+/* Resources and number of the jobs on a worker, summed up from their members. */
+struct job_totals {
 	struct sched_res used;
 	struct sched_res pending;
 	struct sched_res committed;
 	uint32_t jobs;
 };
 
-/* Add up the jobs on each worker. */
-static struct sums *sum_jobs(const struct sched *s)
+/* Returns the totals for each worker. */
+static struct job_totals *total_jobs(const struct sched *s)
 {
-	struct sums *sums = xcalloc(s->workers->len, sizeof(*sums));
+	struct job_totals *totals = xcalloc(s->workers->len, sizeof(*totals));
 
 	for (guint i = 0; i < s->active->len; i++) {
 		const struct sched_job *j = s->active->pdata[i];
 
 		for (uint32_t m = 0; m < j->members_len; m++) {
-			const struct sched_member *mb = &j->members[m];
-			struct sums *at = &sums[mb->worker];
+			const struct sched_member *member = &j->members[m];
+			struct job_totals *at = &totals[member->worker];
 
 			at->jobs++;
 			res_add(j->state == SCHED_JOB_CLAIMING ? &at->pending : &at->used,
-				&mb->need);
-			res_add(&at->committed, &mb->committed);
+				&member->need);
+			res_add(&at->committed, &member->committed);
 		}
 	}
-	return sums;
+	return totals;
 }
 
-/* One worker's books agree with its jobs, and nothing is given out twice. */
-static char *check_worker(const struct sched *s, uint32_t at, const struct sums *sum)
+/* Checks that a worker's counters match its jobs and do not exceed its capacity. */
+static char *check_worker(
+	const struct sched *s, uint32_t worker, const struct job_totals *totals)
 {
-	const struct sched_worker *w = sched_worker_at(s, at);
+	const struct sched_worker *w = sched_worker_at(s, worker);
 	struct sched_res share = res_share(&w->capacity, w->held);
 	struct sched_res committed = w->committed;
 	uint32_t held = 0;
 	char *out = NULL;
 
 	for (uint32_t o = 0; o < s->orgs->len; o++) {
-		held += org_unused(s, o, at);
+		held += org_unused(s, o, worker);
 	}
-	if (!res_equal(&sum->used, &w->used) || !res_equal(&sum->pending, &w->pending) ||
-		!res_equal(&sum->committed, &w->committed) || sum->jobs != w->jobs ||
+	if (!res_equal(&totals->used, &w->used) || !res_equal(&totals->pending, &w->pending) ||
+		!res_equal(&totals->committed, &w->committed) || totals->jobs != w->jobs ||
 		held != w->held)
-		xasprintf(&out, "worker %s: the books do not agree with the jobs", w->name);
+		xasprintf(&out, "worker %s: the counters do not match the jobs", w->name);
 	else if (w->up && !res_fits(&w->used, &w->capacity))
-		xasprintf(&out, "worker %s: more is used than there is", w->name);
+		xasprintf(&out, "worker %s: the used resources exceed the capacity", w->name);
 	res_add(&committed, &share);
 	if (out == NULL && w->up && !res_fits(&committed, &w->capacity))
 		xasprintf(&out,
-			"worker %s: unused guarantees cannot be met (firm %d, held %u of %d)",
+			"worker %s: unused guarantees do not fit (committed %d, held %u of %d)",
 			w->name, w->committed.accelerators, w->held, w->capacity.accelerators);
 	return out;
 }
 
-/* A job's members add up and are close enough together. */
+/* Checks that a job's members sum up to its size and satisfy its adjacency. */
 static char *check_job(const struct sched *s, const struct sched_job *j)
 {
 	uint32_t sum = 0;
@@ -69,16 +70,17 @@
 			(j->adjacency == ADJACENCY_RACK &&
 				sched_worker_at(s, j->members[i].worker)->rack !=
 					sched_worker_at(s, j->members[0].worker)->rack))
-			xasprintf(&out, "job %s: its members are too far apart", j->id);
+			xasprintf(&out, "job %s: the members violate the adjacency", j->id);
 		if (out != NULL)
 			return out;
 	}
 	if ((sum != j->accelerators && !j->partial) || j->members_len == 0)
-		xasprintf(&out, "job %s: %u of %u accelerators", j->id, sum, j->accelerators);
+		xasprintf(&out, "job %s: the members have %u of %u accelerators", j->id, sum,
+			j->accelerators);
 	return out;
 }
 
-/* What jobs are charged on a piece of a hold. */
+/* Returns the accelerators that jobs are charged for a hold on a worker. */
 static uint32_t charged_on(const struct sched *s, const struct sched_hold *h, uint32_t worker)
 {
 	uint32_t sum = 0;
@@ -97,7 +99,10 @@
 	return sum;
 }
 
-/* A hold's pieces add up, are close enough together, and carry what is charged to them. */
+/*
+ * Checks that a hold's pieces sum up to its size, satisfy its adjacency, are on workers that
+ * are up, and match the charges of the jobs.
+ */
 static char *check_hold(const struct sched *s, const struct sched_hold *h)
 {
 	const char *org = sched_org_at(s, h->org)->name;
@@ -114,28 +119,32 @@
 			(h->adjacency == ADJACENCY_RACK &&
 				w->rack != sched_worker_at(s, first)->rack) ||
 			!w->up)
-			xasprintf(&out, "a hold of %s is not close together", org);
+			xasprintf(&out,
+				"a hold of %s violates its adjacency or is on a lost worker",
+				org);
 		else if (p->used > p->accelerators || p->used != charged_on(s, h, p->worker))
-			xasprintf(&out, "a hold of %s is charged %u, its jobs say %u", org,
-				p->used, charged_on(s, h, p->worker));
+			xasprintf(&out,
+				"a hold of %s has %u accelerators charged, its jobs have %u",
+				org, p->used, charged_on(s, h, p->worker));
 	}
 	if (out == NULL && h->placed && sum != h->accelerators)
-		xasprintf(&out, "a hold of %s has %u of %u", org, sum, h->accelerators);
+		xasprintf(&out, "a hold of %s has %u of %u accelerators placed", org, sum,
+			h->accelerators);
 	return out;
 }
 
-/* Check the whole state against its invariants. */
+/* Checks the invariants of the whole state. */
 char *sched_check(const struct sched *s)
 {
-	struct sums *sums = sum_jobs(s);
+	struct job_totals *totals = total_jobs(s);
 	char *out = NULL;
 
 	for (uint32_t i = 0; out == NULL && i < s->workers->len; i++)
-		out = check_worker(s, i, &sums[i]);
+		out = check_worker(s, i, &totals[i]);
 	for (guint i = 0; out == NULL && i < s->active->len; i++)
 		out = check_job(s, s->active->pdata[i]);
 	for (guint i = 0; out == NULL && i < s->holds->len; i++)
 		out = check_hold(s, s->holds->pdata[i]);
-	xfreep(&sums);
+	xfreep(&totals);
 	return out;
 }
