--- a/packages/coordination/sched-health.c
+++ b/packages/coordination/sched-health.c
@@ -1,18 +1,19 @@
 #include "sched-private.h"
 
 /*
- * A failure counts against a worker only while the job has failed nowhere else: a job that
- * fails on a second worker is taken to be bad itself, and the first worker is cleared of it.
- * After a few such jobs without a success between them the worker is quarantined; when the
- * time is over one repeatable job at a time probes it.
+ * A failed job counts against a worker only as long as it has failed on no other worker. A job
+ * that fails on a second worker is considered faulty itself and no longer counts against the
+ * first one. After several failed jobs without a success in between, a worker is quarantined.
+ * After the quarantine time it gets one idempotent job at a time as a trial, until one
+ * succeeds.
  */
 
-#define BAD_JOBS_MAX   3
-#define BAD_WORKERS    2
-#define QUARANTINE_MIN (30 * NSEC_PER_SEC)
-#define QUARANTINE_MAX (600 * NSEC_PER_SEC)
+#define QUARANTINE_FAILED_JOBS 3
+#define FAULTY_JOB_WORKERS     2
+#define QUARANTINE_MIN	       (30 * NSEC_PER_SEC)
+#define QUARANTINE_MAX	       (600 * NSEC_PER_SEC)
 
-/* Whether a worker may be given a job. */
+/* Returns whether a job may be placed on a worker. */
 bool health_allows(const struct sched_worker *w, const struct sched_job *j, int64_t now)
 {
 	if (w->restricted && !j->idempotent)
@@ -22,13 +23,13 @@
 	return now >= w->quarantine_until && !w->probing && j->idempotent && w->jobs == 0;
 }
 
-/* Whether a job failed on so many workers that the job is at fault. */
+/* Returns whether a job failed on so many workers that the job itself is considered faulty. */
 bool health_job_at_fault(const struct sched_job *j)
 {
-	return j->failed_on_len >= BAD_WORKERS;
+	return j->failed_on_len >= FAULTY_JOB_WORKERS;
 }
 
-/* Put a worker into quarantine, each time for longer. */
+/* Quarantines a worker; the time doubles each time until a job succeeds there. */
 static void quarantine(struct sched *s, int64_t now, struct sched_worker *w)
 {
 	w->quarantine_length = w->quarantine_length == 0
@@ -40,7 +41,7 @@
 	s->counts.quarantined++;
 }
 
-/* A job failed on a worker. */
+/* Records that a job failed on a worker. */
 void health_failed(struct sched *s, int64_t now, struct sched_job *j, uint32_t worker)
 {
 	struct sched_worker *w = sched_worker_at(s, worker);
@@ -54,17 +55,17 @@
 	if (health_job_at_fault(j)) {
 		struct sched_worker *first = sched_worker_at(s, j->failed_on[0]);
 
-		if (j->failed_on_len == BAD_WORKERS && !first->quarantined &&
+		if (j->failed_on_len == FAULTY_JOB_WORKERS && !first->quarantined &&
 			first->failed_jobs > 0)
 			first->failed_jobs--;
 		return;
 	}
 	w->failed_jobs++;
-	if (w->probing || w->failed_jobs >= BAD_JOBS_MAX)
+	if (w->probing || w->failed_jobs >= QUARANTINE_FAILED_JOBS)
 		quarantine(s, now, w);
 }
 
-/* A job ended well on a worker. */
+/* Records that a job succeeded on a worker, which ends its quarantine. */
 void health_succeeded(struct sched *s, uint32_t worker)
 {
 	struct sched_worker *w = sched_worker_at(s, worker);
