--- a/tests/unit/test-sched.c
+++ b/tests/unit/test-sched.c
@@ -6,8 +6,8 @@
 
 #define SEC NSEC_PER_SEC
 
-/* A core with two workers of 8 in one rack, and no guarantees. */
-static struct sched *make_core(void)
+/* Returns a scheduler with two workers of 8 accelerators in one rack and no guarantees. */
+static struct sched *make_sched(void)
 {
 	static const char cluster[] = "grace: 1s\n"
 				      "cells: {c: {workers: 2, workers_per_rack: 2, "
@@ -31,7 +31,7 @@
 	return s;
 }
 
-/* Submit a job that may be stopped. */
+/* Submits an idempotent job, which may be preempted. */
 static job_ref submit(struct sched *s, int64_t now, const char *id, uint32_t accelerators,
 	bool urgent, bool checkpoint, int64_t run)
 {
@@ -48,79 +48,85 @@
 	return sched_submit(s, now, &spec, NULL);
 }
 
-/* Run a pass, report what was placed as started, and count the orders to stop. */
-static int pass(struct sched *s, int64_t now)
+/*
+ * Runs a scheduling pass, reports the placed jobs as started and checks the invariants. Returns
+ * the number of stop actions.
+ */
+static int run_pass(struct sched *s, int64_t now)
 {
-	struct sched_action act;
-	int stops = 0;
-	char *wrong;
+	struct sched_action action;
+	int stop_actions = 0;
+	char *violation;
 
 	sched_run(s, now);
-	while (sched_next(s, &act)) {
-		if (act.kind == SCHED_ACTION_PLACE)
-			sched_started(s, now, act.job, act.attempt);
-		stops += act.kind == SCHED_ACTION_STOP;
-		sched_action_clear(&act);
+	while (sched_next(s, &action)) {
+		if (action.kind == SCHED_ACTION_PLACE)
+			sched_started(s, now, action.job, action.attempt);
+		stop_actions += action.kind == SCHED_ACTION_STOP;
+		sched_action_clear(&action);
 	}
-	wrong = sched_check(s);
-	CU_ASSERT_PTR_NULL(wrong);
-	g_free(wrong);
-	return stops;
+	violation = sched_check(s);
+	CU_ASSERT_PTR_NULL(violation);
+	g_free(violation);
+	return stop_actions;
 }
 
-/* A gang that waited for a slice takes the place of one that had its slice, not before. */
-static void test_gang_takes_turn(void)
+/* A gang preempts another one after each has waited or run for a time slice, not earlier. */
+static void test_gang_time_slice(void)
 {
-	struct sched *s = make_core();
+	struct sched *s = make_sched();
 	job_ref first = submit(s, SEC, "first", 16, false, true, 3600 * SEC);
 	job_ref second;
 
-	CU_ASSERT_EQUAL(pass(s, SEC), 0);
+	CU_ASSERT_EQUAL(run_pass(s, SEC), 0);
 	CU_ASSERT_EQUAL(sched_job(s, first)->state, SCHED_JOB_RUNNING);
 	second = submit(s, 2 * SEC, "second", 16, false, true, 3600 * SEC);
-	CU_ASSERT_EQUAL(pass(s, 30 * SEC), 0);
-	CU_ASSERT_EQUAL(pass(s, 70 * SEC), 1);
+	CU_ASSERT_EQUAL(run_pass(s, 30 * SEC), 0);
+	CU_ASSERT_EQUAL(run_pass(s, 70 * SEC), 1);
 	CU_ASSERT_EQUAL(sched_job(s, second)->state, SCHED_JOB_CLAIMING);
 	for (uint32_t i = 0; i < 2; i++)
 		sched_member_ended(s, 71 * SEC, first, 1, i, MEMBER_END_STOPPED, 69 * SEC);
-	CU_ASSERT_EQUAL(pass(s, 71 * SEC), 0);
+	CU_ASSERT_EQUAL(run_pass(s, 71 * SEC), 0);
 	CU_ASSERT_EQUAL(sched_job(s, second)->state, SCHED_JOB_RUNNING);
 	CU_ASSERT_EQUAL(sched_job(s, first)->state, SCHED_JOB_QUEUED);
-	CU_ASSERT_EQUAL(pass(s, 100 * SEC), 0);
-	CU_ASSERT_EQUAL(pass(s, 140 * SEC), 1);
+	CU_ASSERT_EQUAL(run_pass(s, 100 * SEC), 0);
+	CU_ASSERT_EQUAL(run_pass(s, 140 * SEC), 1);
 	sched_free(s);
 }
 
-/* A gang does not take the place of one whose work would be lost. */
-static void test_no_turn_at_a_loss(void)
+/* A gang does not preempt another one that would lose much work without a checkpoint. */
+static void test_no_preemption_at_high_loss(void)
 {
-	struct sched *s = make_core();
+	struct sched *s = make_sched();
 
 	submit(s, SEC, "first", 16, false, false, 3600 * SEC);
-	CU_ASSERT_EQUAL(pass(s, SEC), 0);
+	CU_ASSERT_EQUAL(run_pass(s, SEC), 0);
 	submit(s, 2 * SEC, "second", 16, false, true, 60 * SEC);
-	CU_ASSERT_EQUAL(pass(s, 200 * SEC), 0);
+	CU_ASSERT_EQUAL(run_pass(s, 200 * SEC), 0);
 	sched_free(s);
 }
 
-/* An urgent job outside its guarantee stops a borrower after its patience, at a small loss. */
-static void test_urgent_displaces(void)
+/*
+ * An urgent job without a guarantee preempts a borrower once it was queued for URGENT_WAIT_MIN,
+ * if little work is lost.
+ */
+static void test_urgent_preempts(void)
 {
-	struct sched *s = make_core();
+	struct sched *s = make_sched();
 	job_ref urgent;
 
 	submit(s, SEC, "long", 16, false, true, 3600 * SEC);
-	CU_ASSERT_EQUAL(pass(s, SEC), 0);
+	CU_ASSERT_EQUAL(run_pass(s, SEC), 0);
 	urgent = submit(s, 10 * SEC, "urgent", 1, true, false, SEC);
-	CU_ASSERT_EQUAL(pass(s, 10 * SEC), 0);
-	CU_ASSERT_EQUAL(pass(s, 13 * SEC), 1);
+	CU_ASSERT_EQUAL(run_pass(s, 10 * SEC), 0);
+	CU_ASSERT_EQUAL(run_pass(s, 13 * SEC), 1);
 	CU_ASSERT_EQUAL(sched_job(s, urgent)->state, SCHED_JOB_CLAIMING);
 	sched_free(s);
 }
 
 void unit_sched(CU_pSuite s)
 {
-	CU_add_test(s, "a gang takes its turn", test_gang_takes_turn);
-	CU_add_test(s, "no turn at a loss", test_no_turn_at_a_loss);
-	CU_add_test(s, "an urgent job displaces a borrower", test_urgent_displaces);
+	CU_add_test(s, "a gang preempts another one after a time slice", test_gang_time_slice);
+	CU_add_test(s, "no preemption if much work is lost", test_no_preemption_at_high_loss);
+	CU_add_test(s, "an urgent job preempts a borrower", test_urgent_preempts);
 }
