--- a/packages/coordination/sched-claim.c
+++ b/packages/coordination/sched-claim.c
@@ -10,11 +10,10 @@
  */
 
 #define RESTART_COST (2 * NSEC_PER_SEC) /* run time lost by any restart */
-/* Minimum wait before a job preempts, and minimum run time before a checkpointing job is
- * preempted. */
+/* Minimum wait before a job preempts; minimum run time of a checkpointing job it preempts. */
 #define TIME_SLICE     (60 * NSEC_PER_SEC)
 #define LOSS_RATIO_MAX 0.1 /* of the estimated work of the job that preempts */
-/* The same two limits for urgent jobs. */
+/* Minimum wait and maximum loss for an urgent job that preempts. */
 #define URGENT_WAIT_MIN (2 * NSEC_PER_SEC)
 #define URGENT_LOSS_MAX 60.0 /* accelerator-seconds */
 
