--- a/packages/coordination/sched-hold.c
+++ b/packages/coordination/sched-hold.c
@@ -248,7 +248,7 @@
 	committed_update(s, j);
 }
 
-/* Returns the accelerators of a charge to its hold. */
+/* Makes the accelerators of a charge unused again in its hold. */
 static void revert_charge(struct sched *s, const struct sched_charge *c)
 {
 	struct hold_piece *p = piece_on(c->hold, c->worker);
