--- a/packages/coordination/sched-claim.c
+++ b/packages/coordination/sched-claim.c
@@ -4,9 +4,10 @@
 #include <string.h>
 
 /*
- * Preemption. A job that claims resources used by borrowers is assigned to the workers at once,
- * so that no other job can be placed there. The borrowers are told to stop, and the job starts
- * when they have stopped. The grace time of a stop bounds the wait.
+ * Preemption of borrowers, within the guarantee of an organisation or for a time slice. A job
+ * that claims their resources is assigned to the workers at once, so that no other job can be
+ * placed there. The borrowers are told to stop, and the job starts when they have stopped. The
+ * grace time of a stop bounds the wait.
  */
 
 #define RESTART_COST (2 * NSEC_PER_SEC) /* run time lost by any restart */
