--- a/packages/daemon/agent-upstream.c
+++ b/packages/daemon/agent-upstream.c
@@ -215,7 +215,7 @@
 	if (!json_is_string(json_object_get(o, "address")) ||
 		!json_is_string(json_object_get(o, "worker")) || json_count(o, "slots") == 0) {
 		http_reply_problem(
-			r, ERR_INVALID, "address, worker and slots are required", NULL);
+			r, ERR_INVALID, "address, worker and slots are needed", NULL);
 		json_decref(o);
 		return;
 	}
