--- a/packages/daemon/wl-coord.c
+++ b/packages/daemon/wl-coord.c
@@ -10,8 +10,8 @@
  * confirms its term: no other process can take the key before that lease expires.
  */
 
-COUNTER(passes_total, "damaskpath_passes_total", "Scheduling passes.");
-HISTOGRAM(pass_seconds, "damaskpath_pass_seconds", "Duration of a scheduling pass.");
+COUNTER(passes_total, "damaskpath_passes_total", "Passes of the scheduler.");
+HISTOGRAM(pass_seconds, "damaskpath_pass_seconds", "Time of one pass of the scheduler.");
 
 #define CONFIG_PERIOD	   NSEC_PER_SEC
 #define LEASE_RENEW_PERIOD (700 * NSEC_PER_MSEC)
