--- a/packages/daemon/wl-detour.c
+++ b/packages/daemon/wl-detour.c
@@ -12,7 +12,7 @@
  */
 
 COUNTER(detour_links_total, "damaskpath_detour_links_total",
-	"Connections opened to relay store calls through the coordinator.");
+	"Connections opened for a detour.");
 
 /* How often the address is read; while the store is unreachable this also probes it. */
 #define ADDR_READ_PERIOD NSEC_PER_SEC
