--- a/packages/daemon/wl-worker-order.c
+++ b/packages/daemon/wl-worker-order.c
@@ -10,26 +10,26 @@
  */
 
 COUNTER(starts_total, "damaskpath_starts_total", "Starts sent to the worker.");
-COUNTER(starts_unsure, "damaskpath_starts_unsure_total", "Starts without an answer.");
+COUNTER(starts_unanswered, "damaskpath_starts_unsure_total", "Starts without an answer.");
 COUNTER(stops_total, "damaskpath_stops_total", "Stops sent to the worker.");
 HISTOGRAM(start_seconds, "damaskpath_start_seconds", "Time until the worker answers a start.");
 
 /* An order without an answer is sent so often: carried out twice it has the effect of one. */
 #define ORDER_SENDS_MAX 3
 /* A start without an answer may still show in the lists; then it is made void. */
-#define UNSURE_PATIENCE (400 * NSEC_PER_MSEC)
+#define UNLISTED_START_WAIT (400 * NSEC_PER_MSEC)
 
-static int64_t now_of(const struct wl_worker *w)
+static int64_t worker_now(const struct wl_worker *w)
 {
 	return loop_now(w->p->loop);
 }
 
 /* Free an open start. */
-static void open_free(void *arg)
+static void pending_start_free(void *arg)
 {
-	struct open_start *s = arg;
+	struct pending_start *s = arg;
 
-	free(s->life);
+	free(s->instance);
 	free(s->task);
 	free(s->payload);
 	free(s->checkpoint);
@@ -38,47 +38,48 @@
 }
 
 /* Forget an open start; one with a call under way is freed when that ends. */
-void worker_open_drop(struct wl_worker *w, struct open_start *s)
+void worker_drop_start(struct wl_worker *w, struct pending_start *s)
 {
 	s->dropped = true;
-	g_ptr_array_remove(w->open, s);
-	if (!s->calling)
-		open_free(s);
+	g_ptr_array_remove(w->pending_starts, s);
+	if (!s->call_pending)
+		pending_start_free(s);
 }
 
 /* The outcome of a start is known. */
-static void open_answer(struct wl_worker *w, struct open_start *s, enum wl_answer answer)
+static void resolve_start(struct wl_worker *w, struct pending_start *s, enum wl_answer answer)
 {
 	const struct wl_answer_note note = {.term = s->term,
-		.life = s->life,
+		.life = s->instance,
 		.ordinal = s->ordinal,
 		.task = s->task,
 		.attempt = s->attempt,
 		.answer = answer};
 
-	w->ev.answer(&note, w->ev.arg);
-	worker_open_drop(w, s);
+	w->events.answer(&note, w->events.arg);
+	worker_drop_start(w, s);
 }
 
 /* Up to which start all outcomes are known. */
-uint64_t worker_covers(const struct wl_worker *w)
+uint64_t worker_settled_ordinal(const struct wl_worker *w)
 {
-	uint64_t least = w->last_ordinal + 1;
+	uint64_t least = w->last_start_ordinal + 1;
 
-	for (guint i = 0; i < w->open->len; i++)
-		least = MIN(least, ((struct open_start *)w->open->pdata[i])->ordinal);
+	for (guint i = 0; i < w->pending_starts->len; i++)
+		least = MIN(
+			least, ((struct pending_start *)w->pending_starts->pdata[i])->ordinal);
 	return least - 1;
 }
 
 /* The answer to an order has come, or will not; order_end follows. */
-static void order_answered(struct http_call *c, struct pf_reply *r)
+static void order_parse_reply(struct http_call *c, struct pf_reply *r)
 {
-	((struct worker_call *)c->arg)->worker->calls--;
+	((struct worker_call *)c->arg)->worker->calls_pending--;
 	pf_reply_parse(c, r);
 }
 
 /* Free an order's call and its answer. */
-static void order_end(struct http_call *c, struct pf_reply *r)
+static void order_call_free(struct http_call *c, struct pf_reply *r)
 {
 	free(c->arg);
 	pf_reply_clear(r);
@@ -86,63 +87,64 @@
 }
 
 /* The stop that makes an unanswered start void was answered, or not. */
-static void void_done(struct http_call *c, void *arg)
+static void void_stop_done(struct http_call *c, void *arg)
 {
 	struct worker_call *wc = arg;
 	struct wl_worker *w = wc->worker;
-	struct open_start *s = wc->start;
+	struct pending_start *s = wc->start;
 	struct pf_reply r;
 
-	order_answered(c, &r);
-	s->calling = false;
+	order_parse_reply(c, &r);
+	s->call_pending = false;
 	if (s->dropped)
-		open_free(s);
+		pending_start_free(s);
 	else if (r.kind == PF_REPLY_OK)
-		s->void_since = now_of(w);
+		s->voided_at = worker_now(w);
 	else
-		s->sent = now_of(w);
-	order_end(c, &r);
+		s->sent_at = worker_now(w);
+	order_call_free(c, &r);
 }
 
 /* See to the starts without an answer, by lists that were asked for at a time. */
-void worker_settle_unsure(struct wl_worker *w, const struct pf_reply *r, int64_t asked)
+void worker_resolve_unknown_starts(
+	struct wl_worker *w, const struct pf_reply *r, int64_t requested_at)
 {
-	for (guint i = w->open->len; i > 0; i--) {
-		struct open_start *s = w->open->pdata[i - 1];
+	for (guint i = w->pending_starts->len; i > 0; i--) {
+		struct pending_start *s = w->pending_starts->pdata[i - 1];
 		bool listed = false;
 
-		if (!s->unsure || s->calling)
+		if (!s->outcome_unknown || s->call_pending)
 			continue;
 		for (uint32_t k = 0; k < r->runs_len && !listed; k++)
 			listed = strcmp(r->runs[k].task, s->task) == 0 &&
 				 r->runs[k].attempt == s->attempt;
 		if (listed) {
-			open_answer(w, s, WL_ANSWER_RUNNING);
-		} else if (s->void_since > 0) {
-			if (asked > s->void_since)
-				open_answer(w, s, WL_ANSWER_REFUSED_OTHER);
-		} else if (now_of(w) - s->sent > UNSURE_PATIENCE) {
-			s->calling = true;
+			resolve_start(w, s, WL_ANSWER_RUNNING);
+		} else if (s->voided_at > 0) {
+			if (requested_at > s->voided_at)
+				resolve_start(w, s, WL_ANSWER_REFUSED_OTHER);
+		} else if (worker_now(w) - s->sent_at > UNLISTED_START_WAIT) {
+			s->call_pending = true;
 			worker_send_call(w,
-				pf_worker_stop(w->p->settings.worker_addr, w->beat.id, w->term,
-					s->task, s->attempt),
-				s, void_done);
+				pf_worker_stop(w->p->settings.worker_addr, w->heartbeat.id,
+					w->term, s->task, s->attempt),
+				s, void_stop_done);
 		}
 	}
 }
 
 /* Whether some start waits for its outcome. */
-bool worker_has_unsure(const struct wl_worker *w)
+bool worker_has_unknown_starts(const struct wl_worker *w)
 {
-	for (guint i = 0; i < w->open->len; i++) {
-		if (((struct open_start *)w->open->pdata[i])->unsure)
+	for (guint i = 0; i < w->pending_starts->len; i++) {
+		if (((struct pending_start *)w->pending_starts->pdata[i])->outcome_unknown)
 			return true;
 	}
 	return false;
 }
 
 /* What an answer to a start means to the coordinator. */
-static enum wl_answer answer_of(enum pf_reply_kind k)
+static enum wl_answer start_answer(enum pf_reply_kind k)
 {
 	switch (k) {
 	case PF_REPLY_OK:
@@ -168,7 +170,7 @@
 static void start_done(struct http_call *c, void *arg);
 
 /* Send a start, for the first time or again: a worker that has the run says so. */
-static void start_send(struct wl_worker *w, struct open_start *s, int64_t deadline)
+static void start_send(struct wl_worker *w, struct pending_start *s, int64_t deadline)
 {
 	const struct wl_start start = {.task = s->task,
 		.attempt = s->attempt,
@@ -176,37 +178,37 @@
 		.ticket = s->ticket};
 
 	counter_add(&starts_total, 1);
-	s->calling = true;
-	s->sends++;
-	s->sent = now_of(w);
+	s->call_pending = true;
+	s->send_count++;
+	s->sent_at = worker_now(w);
 	worker_send_call(w,
-		pf_worker_start(w->p->settings.worker_addr, w->beat.id, w->term, deadline,
+		pf_worker_start(w->p->settings.worker_addr, w->heartbeat.id, w->term, deadline,
 			s->payload, &start),
 		s, start_done);
 }
 
 /* No answer came: send the start again, or leave it to the lists. */
-static void start_unanswered(struct wl_worker *w, struct open_start *s)
+static void handle_unanswered_start(struct wl_worker *w, struct pending_start *s)
 {
 	int64_t deadline = worker_lease_deadline(w);
-	bool again = s->sends < ORDER_SENDS_MAX && deadline != 0 && s->term == w->term;
+	bool again = s->send_count < ORDER_SENDS_MAX && deadline != 0 && s->term == w->term;
 
-	counter_add(&starts_unsure, 1);
+	counter_add(&starts_unanswered, 1);
 	event_log(EV_START_UNSURE, "task=%s attempt=%u sends=%u again=%d", s->task, s->attempt,
-		s->sends, again);
+		s->send_count, again);
 	if (again)
 		start_send(w, s, deadline);
 	else
-		s->unsure = true;
+		s->outcome_unknown = true;
 }
 
 /*
  * Whether an answer says only that the start comes too late: where it was sent before, the
  * worker may have run it and listed its end, which the coordinator has to see first.
  */
-static bool may_have_ended(const struct open_start *s, enum pf_reply_kind k)
+static bool may_have_ended(const struct pending_start *s, enum pf_reply_kind k)
 {
-	return k == PF_REPLY_STALE_ATTEMPT && s->sends > 1;
+	return k == PF_REPLY_STALE_ATTEMPT && s->send_count > 1;
 }
 
 /* The worker answered to a start, or not. */
@@ -214,66 +216,66 @@
 {
 	struct worker_call *wc = arg;
 	struct wl_worker *w = wc->worker;
-	struct open_start *s = wc->start;
+	struct pending_start *s = wc->start;
 	struct pf_reply r;
 
-	order_answered(c, &r);
-	histogram_add(&start_seconds, now_of(w) - s->sent);
-	s->calling = false;
+	order_parse_reply(c, &r);
+	histogram_add(&start_seconds, worker_now(w) - s->sent_at);
+	s->call_pending = false;
 	if (s->dropped) {
-		open_free(s);
+		pending_start_free(s);
 	} else if (r.kind == PF_REPLY_NO_ANSWER) {
-		start_unanswered(w, s);
+		handle_unanswered_start(w, s);
 	} else if (may_have_ended(s, r.kind)) {
-		s->unsure = true;
-		s->void_since = now_of(w);
+		s->outcome_unknown = true;
+		s->voided_at = worker_now(w);
 	} else {
-		open_answer(w, s, answer_of(r.kind));
+		resolve_start(w, s, start_answer(r.kind));
 		if (r.kind == PF_REPLY_FENCED && wc->term == w->term)
-			w->ev.fenced(w->ev.arg);
+			w->events.fenced(w->events.arg);
 	}
-	order_end(c, &r);
+	order_call_free(c, &r);
 }
 
 /* Whether an order is of the coordinator that we follow and for this life of the worker. */
-static bool is_for_us(const struct wl_worker *w, uint64_t term, const char *life)
+static bool is_current(const struct wl_worker *w, uint64_t term, const char *life)
 {
-	return term == w->term && w->life != NULL && g_strcmp0(life, w->life) == 0;
+	return term == w->term && w->instance != NULL && g_strcmp0(life, w->instance) == 0;
 }
 
 /* Start tasks; one for another life or without authority is refused here. */
 void wl_worker_start(struct wl_worker *w, const struct wl_start_order *o)
 {
 	int64_t deadline = worker_lease_deadline(w);
-	bool ours = is_for_us(w, o->term, o->life);
+	bool current = is_current(w, o->term, o->life);
 
 	for (uint32_t i = 0; i < o->starts_len; i++) {
-		struct open_start *s = xcalloc(1, sizeof(*s));
+		struct pending_start *s = xcalloc(1, sizeof(*s));
 
 		s->worker = w;
 		s->ordinal = o->starts[i].ordinal;
 		s->term = o->term;
-		s->life = xstrdup(o->life);
+		s->instance = xstrdup(o->life);
 		s->task = xstrdup(o->starts[i].task);
 		s->attempt = o->starts[i].attempt;
 		s->payload = xstrdup(o->payload);
 		s->checkpoint = xstrdup(o->starts[i].checkpoint);
 		s->ticket = xstrdup(o->starts[i].ticket);
-		g_ptr_array_add(w->open, s);
-		w->last_ordinal = MAX(w->last_ordinal, s->ordinal);
-		if (!ours || deadline == 0)
-			open_answer(w, s, WL_ANSWER_REFUSED_OTHER);
+		g_ptr_array_add(w->pending_starts, s);
+		w->last_start_ordinal = MAX(w->last_start_ordinal, s->ordinal);
+		if (!current || deadline == 0)
+			resolve_start(w, s, WL_ANSWER_REFUSED_OTHER);
 		else
 			start_send(w, s, deadline);
 	}
 }
 
 /* An order that the lists will show the effect of was answered. */
-static void order_done(struct http_call *c, void *arg)
+static void pace_done(struct http_call *c, void *arg)
 {
 	struct worker_call *wc = arg;
 
-	wc->worker->calls--;
+	wc->worker->calls_pending--;
 	http_call_free(c);
 	free(wc);
 }
@@ -282,41 +284,42 @@
  * Make a start void that an earlier process of ours may have sent, or that never came: once the
  * stop is answered it cannot begin, and the next lists show whether it has.
  */
-static void void_start(struct wl_worker *w, const struct wl_stop_order *o)
+static void void_unknown_start(struct wl_worker *w, const struct wl_stop_order *o)
 {
-	struct open_start *s;
+	struct pending_start *s;
 
-	for (guint i = 0; i < w->open->len; i++) {
-		if (((struct open_start *)w->open->pdata[i])->ordinal == o->ordinal)
+	for (guint i = 0; i < w->pending_starts->len; i++) {
+		if (((struct pending_start *)w->pending_starts->pdata[i])->ordinal ==
+			o->ordinal)
 			return;
 	}
 	s = xcalloc(1, sizeof(*s));
 	s->worker = w;
 	s->ordinal = o->ordinal;
 	s->term = o->term;
-	s->life = xstrdup(o->life);
+	s->instance = xstrdup(o->life);
 	s->task = xstrdup(o->task);
 	s->attempt = o->attempt;
-	s->sent = now_of(w);
-	s->unsure = true;
-	s->calling = true;
-	g_ptr_array_add(w->open, s);
+	s->sent_at = worker_now(w);
+	s->outcome_unknown = true;
+	s->call_pending = true;
+	g_ptr_array_add(w->pending_starts, s);
 	worker_send_call(w,
-		pf_worker_stop(
-			w->p->settings.worker_addr, w->beat.id, w->term, o->task, o->attempt),
-		s, void_done);
+		pf_worker_stop(w->p->settings.worker_addr, w->heartbeat.id, w->term, o->task,
+			o->attempt),
+		s, void_stop_done);
 }
 
 static void stop_done(struct http_call *c, void *arg);
 
 /* Send a stop, for the first time or again. */
-static void stop_send(struct wl_worker *w, struct open_stop *s)
+static void stop_send(struct wl_worker *w, struct pending_stop *s)
 {
 	struct http_call *c = pf_worker_stop(
-		w->p->settings.worker_addr, w->beat.id, w->term, s->task, s->attempt);
+		w->p->settings.worker_addr, w->heartbeat.id, w->term, s->task, s->attempt);
 
 	counter_add(&stops_total, 1);
-	s->sends++;
+	s->send_count++;
 	worker_send_call(w, c, NULL, stop_done);
 	((struct worker_call *)c->arg)->stop = s;
 }
@@ -326,37 +329,37 @@
 {
 	struct worker_call *wc = arg;
 	struct wl_worker *w = wc->worker;
-	struct open_stop *s = wc->stop;
+	struct pending_stop *s = wc->stop;
 	struct pf_reply r;
 
-	order_answered(c, &r);
-	if (r.kind == PF_REPLY_NO_ANSWER && s->sends < ORDER_SENDS_MAX && wc->term == w->term &&
-		!w->freed) {
+	order_parse_reply(c, &r);
+	if (r.kind == PF_REPLY_NO_ANSWER && s->send_count < ORDER_SENDS_MAX &&
+		wc->term == w->term && !w->freed) {
 		stop_send(w, s);
 	} else {
 		free(s->task);
 		free(s);
 	}
-	order_end(c, &r);
+	order_call_free(c, &r);
 }
 
 /* Stop a run; the coordinator asks again where it goes on. */
 void wl_worker_stop(struct wl_worker *w, const struct wl_stop_order *o)
 {
-	struct open_stop *s;
+	struct pending_stop *s;
 
-	if (!is_for_us(w, o->term, o->life))
+	if (!is_current(w, o->term, o->life))
 		return;
 	if (o->ordinal != 0) {
-		void_start(w, o);
+		void_unknown_start(w, o);
 		return;
 	}
 	/* A start that is under way is not sent again behind its stop. */
-	for (guint i = 0; i < w->open->len; i++) {
-		struct open_start *start = w->open->pdata[i];
+	for (guint i = 0; i < w->pending_starts->len; i++) {
+		struct pending_start *start = w->pending_starts->pdata[i];
 
 		if (start->attempt == o->attempt && strcmp(start->task, o->task) == 0)
-			start->sends = ORDER_SENDS_MAX;
+			start->send_count = ORDER_SENDS_MAX;
 	}
 	s = xcalloc(1, sizeof(*s));
 	s->task = xstrdup(o->task);
@@ -367,10 +370,10 @@
 /* Let a run work slower or at full speed again. */
 void wl_worker_pace(struct wl_worker *w, const struct wl_pace_order *o)
 {
-	if (!is_for_us(w, o->term, o->life))
+	if (!is_current(w, o->term, o->life))
 		return;
 	worker_send_call(w,
-		pf_worker_pace(w->p->settings.worker_addr, w->beat.id, w->term, o->task,
+		pf_worker_pace(w->p->settings.worker_addr, w->heartbeat.id, w->term, o->task,
 			o->attempt, o->percent),
-		NULL, order_done);
+		NULL, pace_done);
 }
--- a/packages/daemon/wl-worker-private.h
+++ b/packages/daemon/wl-worker-private.h
@@ -5,89 +5,96 @@
 
 #include <pthread.h>
 
-/* What wl-worker.c and wl-worker-order.c share. */
+/* Declarations shared by wl-worker.c and wl-worker-order.c. */
 
-/* A start whose outcome is not known yet. */
-struct open_start {
+/* A start order whose outcome is not known yet. */
+struct pending_start {
 	struct wl_worker *worker;
 	uint64_t ordinal;
 	uint64_t term;
-	char *life;
+	char *instance;
 	char *task;
 	uint32_t attempt;
-	/* What it is sent again with. */
+	/* Kept to send the start again. */
 	char *payload;
 	char *checkpoint;
 	char *ticket;
-	unsigned int sends;
-	int64_t sent;
-	bool unsure;	    /* no answer came */
-	bool calling;	    /* a call for it is under way */
-	int64_t void_since; /* the stop was answered: it will not start any more */
+	unsigned int send_count;
+	int64_t sent_at;
+	bool outcome_unknown; /* to be found out from the worker's lists */
+	bool call_pending;
+	int64_t voided_at; /* when the worker confirmed that it can't start any more; 0 before
+			    */
 	bool dropped;
 };
 
 struct wl_worker {
 	struct wl_process *p;
-	struct wl_worker_events ev;
+	struct wl_worker_events events;
 	struct http_server *server;
-	unsigned int calls;
+	unsigned int calls_pending;
 	bool freed;
-	/* What its last report said; id is NULL before the first. */
-	pthread_mutex_t lock;
-	struct pf_heartbeat beat;
-	struct pf_heartbeat beat_next;
-	bool beat_posted;
-	int64_t beat_at;
+	pthread_mutex_t lock; /* guards heartbeat_next and heartbeat_posted */
+	/* The last heartbeat; its id is NULL before the first. */
+	struct pf_heartbeat heartbeat;
+	struct pf_heartbeat heartbeat_next; /* received by the server, not yet processed */
+	bool heartbeat_posted;
+	int64_t heartbeat_at;
 	bool left;
-	char *life;
+	char *instance; /* the worker's id and start time */
 	int64_t instance_started_at;
-	/* Its clock, as of when an answer with it came. */
+	/* The worker's clock, and when an answer told it on ours; clock_at is 0 before. */
 	int64_t clock_ms;
 	int64_t clock_at;
-	uint64_t term;
-	int64_t authority;
-	uint64_t last_ordinal;
+	uint64_t term; /* of the coordinator that we follow; 0 for none */
+	int64_t authority_until;
+	uint64_t last_start_ordinal;
+	/* Highest numbers of the ends of runs that are stored, and that the worker has listed.
+	 */
 	uint64_t ends_stored;
-	/* The last end that the worker has listed. */
 	uint64_t ends_listed;
-	GPtrArray *open;
-	bool holding;
-	uint64_t hold_covers;
-	int64_t hold_sent;
-	struct loop_timer *hold_timer;
+	GPtrArray *pending_starts;
+	/* The call that renews the leases and asks for the worker's lists. */
+	bool renewal_pending;
+	uint64_t renewal_covers;
+	int64_t renewal_sent_at;
+	struct loop_timer *renewal_timer;
 };
 
-/* A stop on its way to the worker. */
-struct open_stop {
+/* A stop order that the worker has not answered yet. */
+struct pending_stop {
 	char *task;
 	uint32_t attempt;
-	unsigned int sends;
+	unsigned int send_count;
 };
 
-/* One call to the worker, with what its answer is for. */
+/* A call to the worker and the order that it carries, if any. */
 struct worker_call {
 	struct wl_worker *worker;
-	struct open_start *start;
-	struct open_stop *stop;
+	struct pending_start *start;
+	struct pending_stop *stop;
 	uint64_t term;
 };
 
 /* wl-worker.c */
-/* Send a call; start is what its answer is for, or NULL. */
-void worker_send_call(struct wl_worker *w, struct http_call *c, struct open_start *s,
+/* Sends a call; s is the start that it concerns, or NULL. */
+void worker_send_call(struct wl_worker *w, struct http_call *c, struct pending_start *s,
 	void (*done)(struct http_call *call, void *arg));
-/* Until when leases may be granted, on the worker's clock in ms; 0 where they may not. */
+/* The latest expiry of a lease granted now, in ms on the worker's clock; 0 if none may be. */
 int64_t worker_lease_deadline(const struct wl_worker *w);
 
 /* wl-worker-order.c: starts and stops until their outcome is known. */
-/* Forget an open start; one with a call under way is freed when that ends. */
-void worker_open_drop(struct wl_worker *w, struct open_start *s);
-/* Up to which start all outcomes are known. */
-uint64_t worker_covers(const struct wl_worker *w);
-/* See to the starts without an answer, by lists that were asked for at a time. */
-void worker_settle_unsure(struct wl_worker *w, const struct pf_reply *r, int64_t asked);
-/* Whether some start waits for its outcome. */
-bool worker_has_unsure(const struct wl_worker *w);
+/* Removes a pending start; while a call for it is under way, that call's end frees it. */
+void worker_drop_start(struct wl_worker *w, struct pending_start *s);
+/* The ordinal up to which the outcome of every start is known. */
+uint64_t worker_settled_ordinal(const struct wl_worker *w);
+/*
+ * Looks for the starts of unknown outcome in the worker's lists, which were requested at
+ * requested_at. One that stays missing is voided, and reported as refused once lists requested
+ * after that don't show it either.
+ */
+void worker_resolve_unknown_starts(
+	struct wl_worker *w, const struct pf_reply *r, int64_t requested_at);
+bool worker_has_unknown_starts(const struct wl_worker *w);
 
 #endif
--- a/packages/daemon/wl-worker.c
+++ b/packages/daemon/wl-worker.c
@@ -11,23 +11,23 @@
  */
 
 /* The lists are asked for anew after this where nothing ends. */
-#define HOLD_WAIT_MS 1000
+#define LIST_WAIT_MS 1000
 /* Between calls that fail. */
-#define HOLD_PAUSE (250 * NSEC_PER_MSEC)
+#define RENEWAL_RETRY_DELAY (250 * NSEC_PER_MSEC)
 /* Time for ends to be stored before the lists are asked for again. */
-#define STORE_WAIT (150 * NSEC_PER_MSEC)
+#define ENDS_STORE_DELAY (150 * NSEC_PER_MSEC)
 /* A worker that has not reported for so long is gone. */
-#define BEAT_SILENCE (8 * NSEC_PER_SEC)
+#define HEARTBEAT_TIMEOUT (8 * NSEC_PER_SEC)
 
-static void hold(struct wl_worker *w);
+static void renew_leases(struct wl_worker *w);
 
-static int64_t now_of(const struct wl_worker *w)
+static int64_t worker_now(const struct wl_worker *w)
 {
 	return loop_now(w->p->loop);
 }
 
 /* Send a call. */
-void worker_send_call(struct wl_worker *w, struct http_call *c, struct open_start *s,
+void worker_send_call(struct wl_worker *w, struct http_call *c, struct pending_start *s,
 	void (*done)(struct http_call *call, void *arg))
 {
 	struct worker_call *wc = xcalloc(1, sizeof(*wc));
@@ -37,115 +37,115 @@
 	wc->term = w->term;
 	c->done = done;
 	c->arg = wc;
-	w->calls++;
+	w->calls_pending++;
 	http_client_send(w->p->http, c);
 }
 
 /* The worker's clock now, at the earliest; 0 before it is known. */
-static int64_t worker_clock(const struct wl_worker *w)
+static int64_t worker_clock_ms(const struct wl_worker *w)
 {
 	if (w->clock_at == 0)
 		return 0;
-	return w->clock_ms + (now_of(w) - w->clock_at) / NSEC_PER_MSEC;
+	return w->clock_ms + (worker_now(w) - w->clock_at) / NSEC_PER_MSEC;
 }
 
 /* Until when leases may be granted, on the worker's clock; 0 where they may not. */
 int64_t worker_lease_deadline(const struct wl_worker *w)
 {
-	if (now_of(w) >= w->authority || w->clock_at == 0)
+	if (worker_now(w) >= w->authority_until || w->clock_at == 0)
 		return 0;
-	return worker_clock(w) + w->p->settings.lease_max / NSEC_PER_MSEC;
+	return worker_clock_ms(w) + w->p->settings.lease_max / NSEC_PER_MSEC;
 }
 
 /* Begin another life of the worker: nothing of the last one is open. */
-static void begin_life(struct wl_worker *w, const char *id, int64_t instance_started_at)
+static void begin_instance(struct wl_worker *w, const char *id, int64_t instance_started_at)
 {
-	free(w->life);
-	xasprintf(&w->life, "%s@%" PRId64, id, instance_started_at);
+	free(w->instance);
+	xasprintf(&w->instance, "%s@%" PRId64, id, instance_started_at);
 	w->instance_started_at = instance_started_at;
 	w->clock_at = 0;
 	w->ends_stored = 0;
 	w->ends_listed = 0;
-	while (w->open->len > 0)
-		worker_open_drop(w, w->open->pdata[0]);
+	while (w->pending_starts->len > 0)
+		worker_drop_start(w, w->pending_starts->pdata[0]);
 }
 
 /* Learn the worker's clock and life from an answer. */
-static void learn(struct wl_worker *w, const struct pf_reply *r)
+static void observe_instance(struct wl_worker *w, const struct pf_reply *r)
 {
-	if (r->instance_started_at != 0 && w->beat.id != NULL &&
+	if (r->instance_started_at != 0 && w->heartbeat.id != NULL &&
 		r->instance_started_at != w->instance_started_at)
-		begin_life(w, w->beat.id, r->instance_started_at);
+		begin_instance(w, w->heartbeat.id, r->instance_started_at);
 	if (r->clock_ms > 0) {
 		w->clock_ms = r->clock_ms;
-		w->clock_at = now_of(w);
+		w->clock_at = worker_now(w);
 	}
 }
 
 /* Pass the worker's state and lists on. */
-static void report(struct wl_worker *w, const struct pf_reply *r)
+static void report_runs(struct wl_worker *w, const struct pf_reply *r)
 {
-	struct wl_report out = w->beat.worker_report;
+	struct wl_report out = w->heartbeat.worker_report;
 
 	out.term = w->term;
 	out.node = w->p->settings.node;
-	out.life = w->life;
+	out.life = w->instance;
 	out.left = w->left;
-	out.covers = w->hold_covers;
-	out.sent_ns = (uint64_t)w->hold_sent;
+	out.covers = w->renewal_covers;
+	out.sent_ns = (uint64_t)w->renewal_sent_at;
 	out.runs = r->runs;
 	out.runs_len = r->runs_len;
 	out.ends = r->ends;
 	out.ends_len = r->ends_len;
-	w->ev.report(&out, w->ev.arg);
+	w->events.report(&out, w->events.arg);
 }
 
-static void on_hold_timer(void *arg)
+static void on_renewal_timer(void *arg)
 {
 	struct wl_worker *w = arg;
 
-	w->hold_timer = NULL;
-	hold(w);
+	w->renewal_timer = NULL;
+	renew_leases(w);
 }
 
 /* Ask again after a pause. */
-static void hold_later(struct wl_worker *w, int64_t pause)
+static void schedule_renewal(struct wl_worker *w, int64_t pause)
 {
-	if (w->hold_timer == NULL)
-		w->hold_timer = loop_timer_add(w->p->loop, pause, 0, on_hold_timer, w);
+	if (w->renewal_timer == NULL)
+		w->renewal_timer = loop_timer_add(w->p->loop, pause, 0, on_renewal_timer, w);
 }
 
 /* The lists have come. */
-static void hold_done(struct http_call *c, void *arg)
+static void renewal_done(struct http_call *c, void *arg)
 {
 	struct worker_call *wc = arg;
 	struct wl_worker *w = wc->worker;
 	struct pf_reply r;
 
-	w->calls--;
-	w->holding = false;
+	w->calls_pending--;
+	w->renewal_pending = false;
 	pf_reply_parse(c, &r);
 	if (w->freed) {
 		wl_worker_free(w);
 	} else {
-		learn(w, &r);
+		observe_instance(w, &r);
 		if (r.kind == PF_REPLY_FENCED && wc->term == w->term)
-			w->ev.fenced(w->ev.arg);
-		if (r.kind == PF_REPLY_OK && wc->term == w->term && w->life != NULL) {
+			w->events.fenced(w->events.arg);
+		if (r.kind == PF_REPLY_OK && wc->term == w->term && w->instance != NULL) {
 			/* A run that has ended is told as that, not as a start that is void. */
-			report(w, &r);
-			worker_settle_unsure(w, &r, w->hold_sent);
+			report_runs(w, &r);
+			worker_resolve_unknown_starts(w, &r, w->renewal_sent_at);
 		}
 		if (r.ends_len > 0)
 			w->ends_listed = MAX(w->ends_listed, r.ends[r.ends_len - 1].number);
 		/* Ends that are listed and not stored are listed again at once: give them time.
 		 */
 		if (r.kind == PF_REPLY_OK && w->ends_listed > w->ends_stored)
-			hold_later(w, STORE_WAIT);
+			schedule_renewal(w, ENDS_STORE_DELAY);
 		else if (r.kind == PF_REPLY_OK)
-			hold(w);
+			renew_leases(w);
 		else
-			hold_later(w, HOLD_PAUSE);
+			schedule_renewal(w, RENEWAL_RETRY_DELAY);
 	}
 	pf_reply_clear(&r);
 	http_call_free(c);
@@ -157,47 +157,48 @@
  * under the same name that has not been heard of yet: its ends are numbered from 1 again, so
  * none may be forgotten before the start is answered.
  */
-static uint64_t ends_to_forget(const struct wl_worker *w)
+static uint64_t ends_to_acknowledge(const struct wl_worker *w)
 {
-	return w->open->len > 0 ? 0 : w->ends_stored;
+	return w->pending_starts->len > 0 ? 0 : w->ends_stored;
 }
 
 /* Renew the leases and ask for the lists, as long as there is a coordinator. */
-static void hold(struct wl_worker *w)
+static void renew_leases(struct wl_worker *w)
 {
 	struct pf_lease_renewal h = {.fence = w->term,
-		.ends_stored = ends_to_forget(w),
+		.ends_stored = ends_to_acknowledge(w),
 		.deadline_ms = worker_lease_deadline(w),
-		.wait_ms = HOLD_WAIT_MS};
+		.wait_ms = LIST_WAIT_MS};
 
-	if (w->holding || w->hold_timer != NULL || w->term == 0 || w->beat.id == NULL ||
-		w->left)
+	if (w->renewal_pending || w->renewal_timer != NULL || w->term == 0 ||
+		w->heartbeat.id == NULL || w->left)
 		return;
-	if (now_of(w) - w->beat_at > BEAT_SILENCE) {
-		hold_later(w, HOLD_PAUSE);
+	if (worker_now(w) - w->heartbeat_at > HEARTBEAT_TIMEOUT) {
+		schedule_renewal(w, RENEWAL_RETRY_DELAY);
 		return;
 	}
 	/* Without its clock no lease can be renewed: ask for that first. */
 	if (w->clock_at == 0)
 		h.wait_ms = 0;
-	else if (worker_has_unsure(w))
-		h.wait_ms = HOLD_WAIT_MS / 10;
-	w->holding = true;
-	w->hold_covers = worker_covers(w);
-	w->hold_sent = now_of(w);
-	worker_send_call(w, pf_worker_renew_leases(w->p->settings.worker_addr, w->beat.id, &h),
-		NULL, hold_done);
+	else if (worker_has_unknown_starts(w))
+		h.wait_ms = LIST_WAIT_MS / 10;
+	w->renewal_pending = true;
+	w->renewal_covers = worker_settled_ordinal(w);
+	w->renewal_sent_at = worker_now(w);
+	worker_send_call(w,
+		pf_worker_renew_leases(w->p->settings.worker_addr, w->heartbeat.id, &h), NULL,
+		renewal_done);
 }
 
 /* Ends up to a number are stored: the worker may forget them with the next call. */
 void wl_worker_ack_ends(struct wl_worker *w, const struct wl_stored *s)
 {
-	if (s->term == w->term && w->life != NULL && g_strcmp0(s->life, w->life) == 0)
+	if (s->term == w->term && w->instance != NULL && g_strcmp0(s->life, w->instance) == 0)
 		w->ends_stored = MAX(w->ends_stored, s->number);
-	if (w->hold_timer != NULL && w->ends_listed <= w->ends_stored) {
-		loop_timer_del(w->p->loop, w->hold_timer);
-		w->hold_timer = NULL;
-		hold(w);
+	if (w->renewal_timer != NULL && w->ends_listed <= w->ends_stored) {
+		loop_timer_del(w->p->loop, w->renewal_timer);
+		w->renewal_timer = NULL;
+		renew_leases(w);
 	}
 }
 
@@ -207,63 +208,65 @@
 	if (w->term == term)
 		return;
 	w->term = term;
-	w->last_ordinal = 0;
-	while (w->open->len > 0)
-		worker_open_drop(w, w->open->pdata[0]);
-	hold(w);
+	w->last_start_ordinal = 0;
+	while (w->pending_starts->len > 0)
+		worker_drop_start(w, w->pending_starts->pdata[0]);
+	renew_leases(w);
 }
 
 void wl_worker_set_start_ordinal(struct wl_worker *w, uint64_t ordinal)
 {
-	w->last_ordinal = MAX(w->last_ordinal, ordinal);
+	w->last_start_ordinal = MAX(w->last_start_ordinal, ordinal);
 }
 
 /* Renew leases until then. */
 void wl_worker_set_authority(struct wl_worker *w, int64_t until)
 {
-	bool had = now_of(w) < w->authority;
+	bool had = worker_now(w) < w->authority_until;
 
-	w->authority = until;
+	w->authority_until = until;
 	if (!had)
-		hold(w);
+		renew_leases(w);
 }
 
 /* Take over a report of the worker, on the loop. */
-static void take_beat(void *arg)
+static void process_heartbeat(void *arg)
 {
 	struct wl_worker *w = arg;
 	bool left;
 
 	pthread_mutex_lock(&w->lock);
-	w->beat_posted = false;
-	left = w->beat_next.service == NULL;
+	w->heartbeat_posted = false;
+	left = w->heartbeat_next.service == NULL;
 	if (!left) {
-		if (w->life == NULL || g_strcmp0(w->beat.id, w->beat_next.id) != 0 ||
-			w->beat_next.instance_started_at != w->instance_started_at)
-			begin_life(w, w->beat_next.id, w->beat_next.instance_started_at);
-		pf_heartbeat_clear(&w->beat);
-		w->beat = w->beat_next;
-		memset(&w->beat_next, 0, sizeof(w->beat_next));
+		if (w->instance == NULL ||
+			g_strcmp0(w->heartbeat.id, w->heartbeat_next.id) != 0 ||
+			w->heartbeat_next.instance_started_at != w->instance_started_at)
+			begin_instance(
+				w, w->heartbeat_next.id, w->heartbeat_next.instance_started_at);
+		pf_heartbeat_clear(&w->heartbeat);
+		w->heartbeat = w->heartbeat_next;
+		memset(&w->heartbeat_next, 0, sizeof(w->heartbeat_next));
 		w->left = false;
-	} else if (g_strcmp0(w->beat.id, w->beat_next.id) == 0) {
+	} else if (g_strcmp0(w->heartbeat.id, w->heartbeat_next.id) == 0) {
 		w->left = true;
-		pf_heartbeat_clear(&w->beat_next);
+		pf_heartbeat_clear(&w->heartbeat_next);
 	}
 	pthread_mutex_unlock(&w->lock);
-	w->beat_at = now_of(w);
-	if (w->left && w->term != 0 && w->life != NULL) {
+	w->heartbeat_at = worker_now(w);
+	if (w->left && w->term != 0 && w->instance != NULL) {
 		const struct pf_reply none = {0};
 
-		w->hold_sent = now_of(w);
-		w->hold_covers = w->last_ordinal;
-		report(w, &none);
+		w->renewal_sent_at = worker_now(w);
+		w->renewal_covers = w->last_start_ordinal;
+		report_runs(w, &none);
 		return;
 	}
-	hold(w);
+	renew_leases(w);
 }
 
 /* The worker reports, on a thread of the server. */
-static void on_beat(struct http_request *r, void *arg)
+static void on_heartbeat(struct http_request *r, void *arg)
 {
 	struct wl_worker *w = arg;
 	struct pf_heartbeat b;
@@ -278,13 +281,13 @@
 		return;
 	}
 	pthread_mutex_lock(&w->lock);
-	pf_heartbeat_clear(&w->beat_next);
-	w->beat_next = b;
-	post = !w->beat_posted;
-	w->beat_posted = true;
+	pf_heartbeat_clear(&w->heartbeat_next);
+	w->heartbeat_next = b;
+	post = !w->heartbeat_posted;
+	w->heartbeat_posted = true;
 	pthread_mutex_unlock(&w->lock);
 	if (post)
-		loop_post(w->p->loop, take_beat, w);
+		loop_post(w->p->loop, process_heartbeat, w);
 	http_reply_text(r, 200, "application/json", "{}");
 }
 
@@ -304,10 +307,11 @@
 	}
 	w = xcalloc(1, sizeof(*w));
 	w->p = p;
-	w->ev = *ev;
-	w->open = g_ptr_array_new();
+	w->events = *ev;
+	w->pending_starts = g_ptr_array_new();
 	pthread_mutex_init(&w->lock, NULL);
-	w->server = http_server_new(p->settings.worker_control_addr, &limits, on_beat, w, err);
+	w->server =
+		http_server_new(p->settings.worker_control_addr, &limits, on_heartbeat, w, err);
 	if (w->server != NULL)
 		return w;
 	wl_worker_free(w);
@@ -317,7 +321,7 @@
 /* Whether no order is under way; asking for the lists does not count. */
 bool wl_worker_idle(const struct wl_worker *w)
 {
-	return w->calls <= (w->holding ? 1u : 0u);
+	return w->calls_pending <= (w->renewal_pending ? 1u : 0u);
 }
 
 /* Free; the process ends, and calls under way go with it. */
@@ -328,11 +332,11 @@
 	w->freed = true;
 	http_server_free(w->server);
 	w->server = NULL;
-	if (w->calls > 0)
+	if (w->calls_pending > 0)
 		return;
-	pf_heartbeat_clear(&w->beat);
-	pf_heartbeat_clear(&w->beat_next);
-	free(w->life);
-	g_ptr_array_unref(w->open);
+	pf_heartbeat_clear(&w->heartbeat);
+	pf_heartbeat_clear(&w->heartbeat_next);
+	free(w->instance);
+	g_ptr_array_unref(w->pending_starts);
 	free(w);
 }
