--- a/packages/daemon/wl-worker-private.h
+++ b/packages/daemon/wl-worker-private.h
@@ -23,8 +23,7 @@
 	int64_t sent_at;
 	bool outcome_unknown; /* to be found out from the worker's lists */
 	bool call_pending;
-	int64_t voided_at; /* when the worker confirmed that it can't start any more; 0 before
-			    */
+	int64_t voided_at; /* when the worker ruled out that it still starts; 0 before */
 	bool dropped;
 };
 
@@ -40,7 +39,7 @@
 	struct pf_heartbeat heartbeat_next; /* received by the server, not yet processed */
 	bool heartbeat_posted;
 	int64_t heartbeat_at;
-	bool left;
+	bool left;	/* its last heartbeat said that it is leaving */
 	char *instance; /* the worker's id and start time */
 	int64_t instance_started_at;
 	/* The worker's clock, and when an answer told it on ours; clock_at is 0 before. */
