--- a/packages/daemon/wl-worker.c
+++ b/packages/daemon/wl-worker.c
@@ -6,17 +6,19 @@
 #include <string.h>
 
 /*
- * The worker of this VM: it reports here, and takes our calls. It keeps what runs, what ended
- * and the leases; we only renew those while we have authority, and carry orders and lists.
+ * The agent's client for the worker of this VM, which sends its heartbeats here and answers
+ * calls. The worker keeps the state: running tasks, ended runs and leases. The agent renews the
+ * leases while it has authority to, and passes orders and lists between the worker and the
+ * coordinator.
  */
 
-/* The lists are asked for anew after this where nothing ends. */
+/* How long the worker may hold back its lists while no run ends. */
 #define LIST_WAIT_MS 1000
-/* Between calls that fail. */
+/* Pause after a failed call. */
 #define RENEWAL_RETRY_DELAY (250 * NSEC_PER_MSEC)
-/* Time for ends to be stored before the lists are asked for again. */
+/* Time for the coordinator to store ended runs before the lists are requested again. */
 #define ENDS_STORE_DELAY (150 * NSEC_PER_MSEC)
-/* A worker that has not reported for so long is gone. */
+/* A worker that has sent no heartbeat for this long is considered gone. */
 #define HEARTBEAT_TIMEOUT (8 * NSEC_PER_SEC)
 
 static void renew_leases(struct wl_worker *w);
@@ -26,7 +28,6 @@
 	return loop_now(w->p->loop);
 }
 
-/* Send a call. */
 void worker_send_call(struct wl_worker *w, struct http_call *c, struct pending_start *s,
 	void (*done)(struct http_call *call, void *arg))
 {
@@ -41,7 +42,10 @@
 	http_client_send(w->p->http, c);
 }
 
-/* The worker's clock now, at the earliest; 0 before it is known. */
+/*
+ * A lower bound of the worker's clock, in ms: the time that its last answer took to arrive is
+ * not counted. 0 before the clock is known.
+ */
 static int64_t worker_clock_ms(const struct wl_worker *w)
 {
 	if (w->clock_at == 0)
@@ -49,7 +53,6 @@
 	return w->clock_ms + (worker_now(w) - w->clock_at) / NSEC_PER_MSEC;
 }
 
-/* Until when leases may be granted, on the worker's clock; 0 where they may not. */
 int64_t worker_lease_deadline(const struct wl_worker *w)
 {
 	if (worker_now(w) >= w->authority_until || w->clock_at == 0)
@@ -57,7 +60,7 @@
 	return worker_clock_ms(w) + w->p->settings.lease_max / NSEC_PER_MSEC;
 }
 
-/* Begin another life of the worker: nothing of the last one is open. */
+/* Switches to another instance of the worker; starts pending at the last one are dropped. */
 static void begin_instance(struct wl_worker *w, const char *id, int64_t instance_started_at)
 {
 	free(w->instance);
@@ -70,8 +73,8 @@
 		worker_drop_start(w, w->pending_starts->pdata[0]);
 }
 
-/* Learn the worker's clock and life from an answer. */
-static void observe_instance(struct wl_worker *w, const struct pf_reply *r)
+/* Takes the worker's clock and instance from an answer. */
+static void observe_reply(struct wl_worker *w, const struct pf_reply *r)
 {
 	if (r->instance_started_at != 0 && w->heartbeat.id != NULL &&
 		r->instance_started_at != w->instance_started_at)
@@ -82,7 +85,7 @@
 	}
 }
 
-/* Pass the worker's state and lists on. */
+/* Reports the worker's state and its lists, which r holds. */
 static void report_runs(struct wl_worker *w, const struct pf_reply *r)
 {
 	struct wl_report out = w->heartbeat.worker_report;
@@ -108,14 +111,12 @@
 	renew_leases(w);
 }
 
-/* Ask again after a pause. */
 static void schedule_renewal(struct wl_worker *w, int64_t pause)
 {
 	if (w->renewal_timer == NULL)
 		w->renewal_timer = loop_timer_add(w->p->loop, pause, 0, on_renewal_timer, w);
 }
 
-/* The lists have come. */
 static void renewal_done(struct http_call *c, void *arg)
 {
 	struct worker_call *wc = arg;
@@ -128,17 +129,20 @@
 	if (w->freed) {
 		wl_worker_free(w);
 	} else {
-		observe_instance(w, &r);
+		observe_reply(w, &r);
 		if (r.kind == PF_REPLY_FENCED && wc->term == w->term)
 			w->events.fenced(w->events.arg);
 		if (r.kind == PF_REPLY_OK && wc->term == w->term && w->instance != NULL) {
-			/* A run that has ended is told as that, not as a start that is void. */
+			/* Ended runs are reported first, so that none counts as a voided start.
+			 */
 			report_runs(w, &r);
 			worker_resolve_unknown_starts(w, &r, w->renewal_sent_at);
 		}
 		if (r.ends_len > 0)
 			w->ends_listed = MAX(w->ends_listed, r.ends[r.ends_len - 1].number);
-		/* Ends that are listed and not stored are listed again at once: give them time.
+		/*
+		 * The worker doesn't wait while it has ends to list that are not acknowledged,
+		 * so the coordinator gets some time to store them.
 		 */
 		if (r.kind == PF_REPLY_OK && w->ends_listed > w->ends_stored)
 			schedule_renewal(w, ENDS_STORE_DELAY);
@@ -153,16 +157,16 @@
 }
 
 /*
- * Up to which end the worker may forget. A start without an answer may have reached a new life
- * under the same name that has not been heard of yet: its ends are numbered from 1 again, so
- * none may be forgotten before the start is answered.
+ * The number up to which the worker may forget ended runs. A start without an answer may have
+ * reached a new instance with the same id that is not known here yet. That instance numbers its
+ * ends from 1 again, so none are acknowledged while a start is pending.
  */
 static uint64_t ends_to_acknowledge(const struct wl_worker *w)
 {
 	return w->pending_starts->len > 0 ? 0 : w->ends_stored;
 }
 
-/* Renew the leases and ask for the lists, as long as there is a coordinator. */
+/* Renews the leases and requests the lists, as long as there is a coordinator. */
 static void renew_leases(struct wl_worker *w)
 {
 	struct pf_lease_renewal h = {.fence = w->term,
@@ -177,7 +181,7 @@
 		schedule_renewal(w, RENEWAL_RETRY_DELAY);
 		return;
 	}
-	/* Without its clock no lease can be renewed: ask for that first. */
+	/* Without the worker's clock no lease can be renewed: get it without a wait. */
 	if (w->clock_at == 0)
 		h.wait_ms = 0;
 	else if (worker_has_unknown_starts(w))
@@ -190,7 +194,6 @@
 		renewal_done);
 }
 
-/* Ends up to a number are stored: the worker may forget them with the next call. */
 void wl_worker_ack_ends(struct wl_worker *w, const struct wl_stored *s)
 {
 	if (s->term == w->term && w->instance != NULL && g_strcmp0(s->life, w->instance) == 0)
@@ -202,7 +205,6 @@
 	}
 }
 
-/* Follow a coordinator; 0 for none. */
 void wl_worker_set_term(struct wl_worker *w, uint64_t term)
 {
 	if (w->term == term)
@@ -219,26 +221,25 @@
 	w->last_start_ordinal = MAX(w->last_start_ordinal, ordinal);
 }
 
-/* Renew leases until then. */
 void wl_worker_set_authority(struct wl_worker *w, int64_t until)
 {
-	bool had = worker_now(w) < w->authority_until;
+	bool had_authority = worker_now(w) < w->authority_until;
 
 	w->authority_until = until;
-	if (!had)
+	if (!had_authority)
 		renew_leases(w);
 }
 
-/* Take over a report of the worker, on the loop. */
+/* Processes the latest heartbeat, on the loop. */
 static void process_heartbeat(void *arg)
 {
 	struct wl_worker *w = arg;
-	bool left;
+	bool leaving;
 
 	pthread_mutex_lock(&w->lock);
 	w->heartbeat_posted = false;
-	left = w->heartbeat_next.service == NULL;
-	if (!left) {
+	leaving = w->heartbeat_next.service == NULL;
+	if (!leaving) {
 		if (w->instance == NULL ||
 			g_strcmp0(w->heartbeat.id, w->heartbeat_next.id) != 0 ||
 			w->heartbeat_next.instance_started_at != w->instance_started_at)
@@ -265,7 +266,7 @@
 	renew_leases(w);
 }
 
-/* The worker reports, on a thread of the server. */
+/* Receives a heartbeat, on a thread of the server. */
 static void on_heartbeat(struct http_request *r, void *arg)
 {
 	struct wl_worker *w = arg;
@@ -291,7 +292,6 @@
 	http_reply_text(r, 200, "application/json", "{}");
 }
 
-/* Stand beside the worker that the settings name. */
 struct wl_worker *wl_worker_new(
 	struct wl_process *p, const struct wl_worker_events *ev, GError **err)
 {
@@ -318,13 +318,13 @@
 	return NULL;
 }
 
-/* Whether no order is under way; asking for the lists does not count. */
+/* Whether no order is under way; a pending call for the lists doesn't count. */
 bool wl_worker_idle(const struct wl_worker *w)
 {
 	return w->calls_pending <= (w->renewal_pending ? 1u : 0u);
 }
 
-/* Free; the process ends, and calls under way go with it. */
+/* Called as the process ends: calls under way, and the memory they use, end with it. */
 void wl_worker_free(struct wl_worker *w)
 {
 	if (w == NULL)
