--- a/packages/daemon/wl-worker-order.c
+++ b/packages/daemon/wl-worker-order.c
@@ -5,8 +5,9 @@
 #include <string.h>
 
 /*
- * Orders to the worker of this VM. One without an answer may have been carried out, or may be
- * later: it is sent again, and a start is made void before its task may run elsewhere.
+ * Orders to the worker of this VM. An order without an answer may have been carried out, or may
+ * be later, so it is sent again. A start without an answer is voided by a stop before its task
+ * may run elsewhere.
  */
 
 COUNTER(starts_total, "damaskpath_starts_total", "Starts sent to the worker.");
@@ -14,9 +15,12 @@
 COUNTER(stops_total, "damaskpath_stops_total", "Stops sent to the worker.");
 HISTOGRAM(start_seconds, "damaskpath_start_seconds", "Time until the worker answers a start.");
 
-/* An order without an answer is sent so often: carried out twice it has the effect of one. */
+/* How often an order without an answer is sent; orders are idempotent. */
 #define ORDER_SENDS_MAX 3
-/* A start without an answer may still show in the lists; then it is made void. */
+/*
+ * A start without an answer may still show up in the worker's lists; one that has not after
+ * this time is voided.
+ */
 #define UNLISTED_START_WAIT (400 * NSEC_PER_MSEC)
 
 static int64_t worker_now(const struct wl_worker *w)
@@ -24,7 +28,6 @@
 	return loop_now(w->p->loop);
 }
 
-/* Free an open start. */
 static void pending_start_free(void *arg)
 {
 	struct pending_start *s = arg;
@@ -37,7 +40,6 @@
 	free(s);
 }
 
-/* Forget an open start; one with a call under way is freed when that ends. */
 void worker_drop_start(struct wl_worker *w, struct pending_start *s)
 {
 	s->dropped = true;
@@ -46,7 +48,7 @@
 		pending_start_free(s);
 }
 
-/* The outcome of a start is known. */
+/* Reports a start's outcome to the coordinator. */
 static void resolve_start(struct wl_worker *w, struct pending_start *s, enum wl_answer answer)
 {
 	const struct wl_answer_note note = {.term = s->term,
@@ -60,7 +62,6 @@
 	worker_drop_start(w, s);
 }
 
-/* Up to which start all outcomes are known. */
 uint64_t worker_settled_ordinal(const struct wl_worker *w)
 {
 	uint64_t least = w->last_start_ordinal + 1;
@@ -71,14 +72,13 @@
 	return least - 1;
 }
 
-/* The answer to an order has come, or will not; order_end follows. */
+/* Decodes the answer to an order; order_call_free has to follow. */
 static void order_parse_reply(struct http_call *c, struct pf_reply *r)
 {
 	((struct worker_call *)c->arg)->worker->calls_pending--;
 	pf_reply_parse(c, r);
 }
 
-/* Free an order's call and its answer. */
 static void order_call_free(struct http_call *c, struct pf_reply *r)
 {
 	free(c->arg);
@@ -86,7 +86,7 @@
 	http_call_free(c);
 }
 
-/* The stop that makes an unanswered start void was answered, or not. */
+/* Handles the answer to a stop that voids a start; without success it is tried again later. */
 static void void_stop_done(struct http_call *c, void *arg)
 {
 	struct worker_call *wc = arg;
@@ -105,7 +105,6 @@
 	order_call_free(c, &r);
 }
 
-/* See to the starts without an answer, by lists that were asked for at a time. */
 void worker_resolve_unknown_starts(
 	struct wl_worker *w, const struct pf_reply *r, int64_t requested_at)
 {
@@ -133,7 +132,6 @@
 	}
 }
 
-/* Whether some start waits for its outcome. */
 bool worker_has_unknown_starts(const struct wl_worker *w)
 {
 	for (guint i = 0; i < w->pending_starts->len; i++) {
@@ -143,7 +141,7 @@
 	return false;
 }
 
-/* What an answer to a start means to the coordinator. */
+/* The worker's answer to a start, as it is reported to the coordinator. */
 static enum wl_answer start_answer(enum pf_reply_kind k)
 {
 	switch (k) {
@@ -169,7 +167,7 @@
 
 static void start_done(struct http_call *c, void *arg);
 
-/* Send a start, for the first time or again: a worker that has the run says so. */
+/* Sends a start, for the first time or again: a worker that already has the run confirms it. */
 static void start_send(struct wl_worker *w, struct pending_start *s, int64_t deadline)
 {
 	const struct wl_start start = {.task = s->task,
@@ -187,7 +185,7 @@
 		s, start_done);
 }
 
-/* No answer came: send the start again, or leave it to the lists. */
+/* Sends the start again, or leaves its outcome to be found out from the worker's lists. */
 static void handle_unanswered_start(struct wl_worker *w, struct pending_start *s)
 {
 	int64_t deadline = worker_lease_deadline(w);
@@ -203,15 +201,14 @@
 }
 
 /*
- * Whether an answer says only that the start comes too late: where it was sent before, the
- * worker may have run it and listed its end, which the coordinator has to see first.
+ * Whether a start that was refused as stale may have run: if it was sent before, the worker may
+ * have run it and listed its end, which the coordinator has to see first.
  */
 static bool may_have_ended(const struct pending_start *s, enum pf_reply_kind k)
 {
 	return k == PF_REPLY_STALE_ATTEMPT && s->send_count > 1;
 }
 
-/* The worker answered to a start, or not. */
 static void start_done(struct http_call *c, void *arg)
 {
 	struct worker_call *wc = arg;
@@ -237,13 +234,13 @@
 	order_call_free(c, &r);
 }
 
-/* Whether an order is of the coordinator that we follow and for this life of the worker. */
-static bool is_current(const struct wl_worker *w, uint64_t term, const char *life)
+/* Whether an order is from the current coordinator and for the worker's current instance. */
+static bool is_current(const struct wl_worker *w, uint64_t term, const char *instance)
 {
-	return term == w->term && w->instance != NULL && g_strcmp0(life, w->instance) == 0;
+	return term == w->term && w->instance != NULL && g_strcmp0(instance, w->instance) == 0;
 }
 
-/* Start tasks; one for another life or without authority is refused here. */
+/* Starts tasks; refuses orders of another term or instance, and all without authority. */
 void wl_worker_start(struct wl_worker *w, const struct wl_start_order *o)
 {
 	int64_t deadline = worker_lease_deadline(w);
@@ -270,7 +267,7 @@
 	}
 }
 
-/* An order that the lists will show the effect of was answered. */
+/* Ignores the answer: the worker's lists show the effect. */
 static void pace_done(struct http_call *c, void *arg)
 {
 	struct worker_call *wc = arg;
@@ -281,8 +278,9 @@
 }
 
 /*
- * Make a start void that an earlier process of ours may have sent, or that never came: once the
- * stop is answered it cannot begin, and the next lists show whether it has.
+ * Voids a start that an earlier process of this agent may have sent, or that never arrived
+ * here: once the stop is answered it can't start any more, and the next lists show whether it
+ * had.
  */
 static void void_unknown_start(struct wl_worker *w, const struct wl_stop_order *o)
 {
@@ -312,7 +310,6 @@
 
 static void stop_done(struct http_call *c, void *arg);
 
-/* Send a stop, for the first time or again. */
 static void stop_send(struct wl_worker *w, struct pending_stop *s)
 {
 	struct http_call *c = pf_worker_stop(
@@ -324,7 +321,7 @@
 	((struct worker_call *)c->arg)->stop = s;
 }
 
-/* The worker answered to a stop, or not; its effect shows in the lists. */
+/* Sends the stop again if it has no answer; its effect shows in the worker's lists. */
 static void stop_done(struct http_call *c, void *arg)
 {
 	struct worker_call *wc = arg;
@@ -343,7 +340,7 @@
 	order_call_free(c, &r);
 }
 
-/* Stop a run; the coordinator asks again where it goes on. */
+/* Stops a run; the coordinator orders it again while the run goes on. */
 void wl_worker_stop(struct wl_worker *w, const struct wl_stop_order *o)
 {
 	struct pending_stop *s;
@@ -354,7 +351,7 @@
 		void_unknown_start(w, o);
 		return;
 	}
-	/* A start that is under way is not sent again behind its stop. */
+	/* A pending start must not be sent again after its stop. */
 	for (guint i = 0; i < w->pending_starts->len; i++) {
 		struct pending_start *start = w->pending_starts->pdata[i];
 
@@ -367,7 +364,7 @@
 	stop_send(w, s);
 }
 
-/* Let a run work slower or at full speed again. */
+/* Throttles a run to a percentage of its speed; 100 is full speed. */
 void wl_worker_pace(struct wl_worker *w, const struct wl_pace_order *o)
 {
 	if (!is_current(w, o->term, o->life))
