--- a/packages/daemon/wl-entry.c
+++ b/packages/daemon/wl-entry.c
@@ -4,27 +4,27 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* The configuration is proved anew after this. */
-#define CONFIG_PERIOD (700 * NSEC_PER_MSEC)
+/* How often the configuration is verified against the store. */
+#define CONFIG_CHECK_PERIOD (700 * NSEC_PER_MSEC)
 /*
- * An entry takes new callers while its proof is at most so old: one that is cut off from the
- * store leaves the rotation before its callers have used up their tries there.
+ * An entry is ready while its configuration was verified within this time. An entry that loses
+ * the store then leaves the load balancer's rotation before its callers run out of retries.
  */
-#define READY_MAX_AGE (1000 * NSEC_PER_MSEC)
-#define READY_PERIOD  (100 * NSEC_PER_MSEC)
-/* A call without a deadline of its caller is given up after this. */
-#define CALL_LIMIT (2500 * NSEC_PER_MSEC)
-/* Time of a caller's deadline that is kept for the answer to reach it. */
-#define CALL_MARGIN (150 * NSEC_PER_MSEC)
-/* After the signal to stop, new callers may still come until the balancer has noticed. */
-#define STOP_LINGER (2500 * NSEC_PER_MSEC)
+#define READY_CONFIG_AGE_MAX (1000 * NSEC_PER_MSEC)
+#define READY_CHECK_PERIOD   (100 * NSEC_PER_MSEC)
+/* The longest time for a call, for which the caller may give an earlier deadline. */
+#define CALL_TIMEOUT (2500 * NSEC_PER_MSEC)
+/* Part of the caller's deadline that is reserved for the answer to arrive. */
+#define REPLY_MARGIN (150 * NSEC_PER_MSEC)
+/* New calls may arrive this long after the signal to stop, until the balancer notices. */
+#define STOP_DELAY (2500 * NSEC_PER_MSEC)
 
 #define BODY_MAX	(512 * 1024)
 #define CONNECTIONS_MAX 3500
 #define IDLE_TIMEOUT_S	60
 
-/* The loop's part of a new call. */
-static void call_begin(void *arg)
+/* Starts a call, on the loop. */
+static void begin_call(void *arg)
 {
 	struct entry_call *c = arg;
 
@@ -32,13 +32,14 @@
 	entry_call_route(c);
 }
 
-/* A caller's request, on a thread of the server. */
+/* Receives a caller's request, on a thread of the server. */
 static void on_request(struct http_request *r, void *arg)
 {
 	struct wl_entry *e = arg;
 	struct entry_call *c = xcalloc(1, sizeof(*c));
-	const char *limit = http_header(r, PF_DEADLINE_HEADER);
-	int64_t given = limit != NULL ? g_ascii_strtoll(limit, NULL, 10) * NSEC_PER_MSEC : 0;
+	const char *header = http_header(r, PF_DEADLINE_HEADER);
+	int64_t timeout =
+		header != NULL ? g_ascii_strtoll(header, NULL, 10) * NSEC_PER_MSEC : 0;
 
 	c->entry = e;
 	c->request = r;
@@ -46,13 +47,14 @@
 	c->path = xstrdup(http_path(r));
 	c->key = pf_api_key_parse(http_header(r, "Authorization"));
 	c->arrived = clock_now(loop_clock(e->p->loop));
-	c->deadline = c->arrived +
-		      (given > CALL_MARGIN ? MIN(given - CALL_MARGIN, CALL_LIMIT) : CALL_LIMIT);
-	loop_post(e->p->loop, call_begin, c);
+	c->deadline =
+		c->arrived + (timeout > REPLY_MARGIN ? MIN(timeout - REPLY_MARGIN, CALL_TIMEOUT)
+						     : CALL_TIMEOUT);
+	loop_post(e->p->loop, begin_call, c);
 }
 
-/* The balancer's health check. */
-static void on_ready(struct http_request *r, void *arg)
+/* Answers the load balancer's health check, on a thread of the server. */
+static void on_readiness_request(struct http_request *r, void *arg)
 {
 	struct wl_entry *e = arg;
 	bool ready = __atomic_load_n(&e->ready, __ATOMIC_RELAXED);
@@ -63,13 +65,13 @@
 		http_reply(r, ready ? 200 : 503, NULL, "", 0);
 }
 
-/* Whether new callers may come. */
+/* Updates whether new callers are accepted. */
 static void update_ready(void *arg)
 {
 	struct wl_entry *e = arg;
 	int64_t age = config_feed_age(e->feed);
-	bool ready = !e->stopping && config_feed_get(e->feed) != NULL && age < READY_MAX_AGE &&
-		     !kv_detoured(e->p->kv);
+	bool ready = !e->stopping && config_feed_get(e->feed) != NULL &&
+		     age < READY_CONFIG_AGE_MAX && !kv_detoured(e->p->kv);
 
 	if (ready == e->ready)
 		return;
@@ -78,20 +80,18 @@
 		MIN(age / NSEC_PER_MSEC, (int64_t)1000000));
 }
 
-/* Another configuration. */
-static void on_config(void *arg)
+static void on_config_changed(void *arg)
 {
 	update_ready(arg);
 }
 
-/* Serve callers. */
 struct wl_entry *wl_entry_new(struct wl_process *p, GError **err)
 {
-	const struct http_limits limits = {.body_max = BODY_MAX,
+	const struct http_limits caller_limits = {.body_max = BODY_MAX,
 		.connections_max = CONNECTIONS_MAX,
 		.idle_timeout_s = IDLE_TIMEOUT_S,
 		.threads = 1};
-	const struct http_limits few = {.body_max = 4096,
+	const struct http_limits ready_limits = {.body_max = 4096,
 		.connections_max = 64,
 		.idle_timeout_s = IDLE_TIMEOUT_S,
 		.threads = 1};
@@ -105,36 +105,37 @@
 	e->p = p;
 	e->queue_depth = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	e->queue_depth_waiters = g_ptr_array_new();
-	e->feed = config_feed_new(p, CONFIG_PERIOD, on_config, e);
+	e->feed = config_feed_new(p, CONFIG_CHECK_PERIOD, on_config_changed, e);
 	e->caller_server =
-		http_server_new(p->settings.client_addr, &limits, on_request, e, err);
+		http_server_new(p->settings.client_addr, &caller_limits, on_request, e, err);
 	if (e->caller_server != NULL)
-		e->ready_server =
-			http_server_new(p->settings.readiness_addr, &few, on_ready, e, err);
+		e->ready_server = http_server_new(p->settings.readiness_addr, &ready_limits,
+			on_readiness_request, e, err);
 	if (e->ready_server == NULL) {
 		wl_entry_free(e);
 		return NULL;
 	}
-	e->timer = loop_timer_add(p->loop, READY_PERIOD, READY_PERIOD, update_ready, e);
+	e->timer = loop_timer_add(
+		p->loop, READY_CHECK_PERIOD, READY_CHECK_PERIOD, update_ready, e);
 	return e;
 }
 
-/* Begin to stop: the balancer is told first, callers that still come are served. */
+/* Begins to stop: fails the health check first, and still serves calls that arrive. */
 void wl_entry_stop(struct wl_entry *e)
 {
 	e->stopping = true;
-	e->stop_at = loop_now(e->p->loop) + STOP_LINGER;
+	e->stop_at = loop_now(e->p->loop) + STOP_DELAY;
 	update_ready(e);
 }
 
-/* Whether all callers have been answered and no more are expected. */
+/* Whether all calls are answered and no more are expected. */
 bool wl_entry_idle(const struct wl_entry *e)
 {
 	return e->stopping && loop_now(e->p->loop) >= e->stop_at && e->open == 0 &&
 	       http_server_open(e->caller_server) == 0;
 }
 
-/* Free an entry that is idle. */
+/* The entry must be idle. */
 void wl_entry_free(struct wl_entry *e)
 {
 	if (e == NULL)
