--- a/packages/daemon/wl-process.c
+++ b/packages/daemon/wl-process.c
@@ -10,25 +10,24 @@
 
 #include "daemon.h"
 
-#define STOP_PERIOD (50 * NSEC_PER_MSEC)
-/* Kept of the time that the platform grants for a stop. */
+#define STOP_CHECK_PERIOD (50 * NSEC_PER_MSEC)
+/* Exits this long before the platform's time for a stop runs out. */
 #define STOP_MARGIN  (700 * NSEC_PER_MSEC)
 #define FLUSH_PERIOD (250 * NSEC_PER_MSEC)
-/* A call to the store that takes longer counts as unanswered. */
-#define STORE_TIMEOUT (1200 * NSEC_PER_MSEC)
+/* A store call that takes longer counts as unanswered. */
+#define STORE_CALL_TIMEOUT (1200 * NSEC_PER_MSEC)
 
 struct wl_program {
 	struct wl_process process;
 	struct wl_entry *entry;
 	struct wl_agent *agent;
-	struct http_server *metrics;
+	struct http_server *metrics_server;
 	int signal_fd;
 	bool stopping;
-	int64_t stop_at;
+	int64_t stop_deadline;
 };
 
-/* Metrics as text. */
-static void on_metrics(struct http_request *r, void *arg)
+static void serve_metrics(struct http_request *r, void *arg)
 {
 	g_autofree char *counters = counter_render();
 	GString *out = g_string_new(counters);
@@ -39,28 +38,28 @@
 	g_string_free(out, TRUE);
 }
 
-/* Write out the log lines that wait. */
-static void on_flush(void *arg)
+/* Writes the buffered log lines. */
+static void flush_log(void *arg)
 {
 	(void)arg;
 	event_flush();
 }
 
-/* While stopping: end when nothing is in flight, or at the limit. */
-static void check_stopped(void *arg)
+/* While stopping: exits once nothing is in flight, or at the deadline. */
+static void exit_if_idle(void *arg)
 {
 	struct wl_program *p = arg;
 	bool idle = (p->entry == NULL || wl_entry_idle(p->entry)) &&
 		    (p->agent == NULL || wl_agent_idle(p->agent));
 
-	if (!idle && loop_now(p->process.loop) < p->stop_at)
+	if (!idle && loop_now(p->process.loop) < p->stop_deadline)
 		return;
 	event_log(EV_STOP, "why=%s", idle ? "idle" : "limit");
 	loop_stop(p->process.loop);
 }
 
-/* Read the settings again: what is in use stays until the process is started anew. */
-static void reload(struct wl_program *p)
+/* Reads the settings again and logs the result; they take effect at the next restart. */
+static void check_settings(struct wl_program *p)
 {
 	struct pf_settings s;
 	g_autoptr(GError) err = NULL;
@@ -74,7 +73,6 @@
 	pf_settings_clear(&s);
 }
 
-/* A signal. */
 static void on_signal(uint32_t events, void *arg)
 {
 	struct wl_program *p = arg;
@@ -84,23 +82,24 @@
 	if (read(p->signal_fd, &info, sizeof(info)) != sizeof(info))
 		return;
 	if (info.ssi_signo == SIGHUP) {
-		reload(p);
+		check_settings(p);
 		return;
 	}
 	if (p->stopping)
 		return;
 	event_log(EV_STOP, "why=signal number=%u", info.ssi_signo);
 	p->stopping = true;
-	p->stop_at = loop_now(p->process.loop) + p->process.settings.stop_grace - STOP_MARGIN;
+	p->stop_deadline =
+		loop_now(p->process.loop) + p->process.settings.stop_grace - STOP_MARGIN;
 	if (p->entry != NULL)
 		wl_entry_stop(p->entry);
 	if (p->agent != NULL)
 		wl_agent_stop(p->agent);
-	loop_timer_add(p->process.loop, STOP_PERIOD, STOP_PERIOD, check_stopped, p);
+	loop_timer_add(p->process.loop, STOP_CHECK_PERIOD, STOP_CHECK_PERIOD, exit_if_idle, p);
 }
 
-/* Serve metrics where the settings ask for it. */
-static bool open_metrics(struct wl_program *p, int64_t port, GError **err)
+/* Serves metrics unless port is 0. */
+static bool start_metrics_server(struct wl_program *p, int64_t port, GError **err)
 {
 	const struct http_limits limits = {
 		.body_max = 1024, .connections_max = 16, .idle_timeout_s = 30, .threads = 1};
@@ -109,12 +108,12 @@
 	if (port == 0)
 		return true;
 	addr = g_strdup_printf("%s:%" PRId64, p->process.settings.ip, port);
-	p->metrics = http_server_new(addr, &limits, on_metrics, p, err);
-	return p->metrics != NULL;
+	p->metrics_server = http_server_new(addr, &limits, serve_metrics, p, err);
+	return p->metrics_server != NULL;
 }
 
-/* Set up what both roles need. */
-static bool open_process(struct wl_program *p, const struct options *o, GError **err)
+/* Sets up what both roles need. */
+static bool init_process(struct wl_program *p, const struct options *o, GError **err)
 {
 	struct wl_process *w = &p->process;
 
@@ -126,17 +125,17 @@
 	event_set_process(w->settings.node);
 	w->loop = loop_new(&clock_system);
 	w->http = http_client_new(w->loop);
-	w->kv = pf_store_new(w->loop, w->http, w->settings.store_addr, STORE_TIMEOUT);
-	loop_timer_add(w->loop, FLUSH_PERIOD, FLUSH_PERIOD, on_flush, NULL);
-	return open_metrics(p, options_number(o, "metrics-port"), err);
+	w->kv = pf_store_new(w->loop, w->http, w->settings.store_addr, STORE_CALL_TIMEOUT);
+	loop_timer_add(w->loop, FLUSH_PERIOD, FLUSH_PERIOD, flush_log, NULL);
+	return start_metrics_server(p, options_number(o, "metrics-port"), err);
 }
 
-/* Run a role of the platform until it is stopped. */
+/* Runs a role until the process is stopped; returns the exit status. */
 int wl_process_run(enum wl_role role, const struct options *o)
 {
 	struct wl_program p = {.signal_fd = process_open_signalfd(true)};
 	g_autoptr(GError) err = NULL;
-	bool ok = open_process(&p, o, &err);
+	bool ok = init_process(&p, o, &err);
 
 	if (ok && role == WL_ROLE_ENTRY) {
 		wl_detour_new(&p.process);
@@ -152,7 +151,7 @@
 		role == WL_ROLE_ENTRY ? "entry" : "agent", p.process.settings.zone, DP_VERSION);
 	loop_add_fd(p.process.loop, p.signal_fd, EPOLLIN, on_signal, &p);
 	loop_run(p.process.loop);
-	/* The process ends here; calls under way go with it. */
+	/* Nothing is freed, as the process ends here; calls under way are abandoned. */
 	event_log(EV_STOP, "why=done");
 	event_flush();
 	return 0;
