--- a/packages/daemon/wl-entry-job.c
+++ b/packages/daemon/wl-entry-job.c
@@ -6,33 +6,32 @@
 
 COUNTER(accepted_total, "damaskpath_jobs_accepted_total", "Jobs accepted.");
 COUNTER(refused_total, "damaskpath_jobs_refused_total", "Submissions refused.");
-COUNTER(unsure_total, "damaskpath_jobs_unsure_total",
+COUNTER(outcome_unknown_total, "damaskpath_jobs_unsure_total",
 	"Submissions of which it is not known whether they were accepted.");
 HISTOGRAM(submit_seconds, "damaskpath_submit_seconds", "Time to answer a submission.");
 HISTOGRAM(state_seconds, "damaskpath_state_seconds", "Time to answer for a job's state.");
 
-/* A configuration that was proved so long before a call's arrival still counts. */
-#define CONFIG_SLACK (300 * NSEC_PER_MSEC)
-/* A submission is written again so often while the store does not answer. */
-#define TRIES_MAX 6
+/* A configuration verified this long before a call's arrival still counts as current. */
+#define CONFIG_VERIFY_SLACK (300 * NSEC_PER_MSEC)
+/* How often a call is tried while the store doesn't answer. */
+#define STORE_TRIES_MAX 6
 /*
- * How long the store may take for a submission the first time, and again: a lost answer shows
- * early, and a slow store still has the time that it needs on its slowest days.
+ * Timeouts of the first write of a submission and of its retries: the short first one detects a
+ * lost answer early, the longer one leaves a slow store enough time at its slowest.
  */
-#define FIRST_PATIENCE (350 * NSEC_PER_MSEC)
-#define AGAIN_PATIENCE (600 * NSEC_PER_MSEC)
-/* A store that has answered nothing for so long is taken to be down. */
-#define STORE_SILENCE	  (600 * NSEC_PER_MSEC)
-#define RETRY_AFTER_S	  1
-#define RETRY_AFTER_MAX_S 4
-/* The depth of the queues is counted again after this. */
-#define DEPTH_MAX_AGE (700 * NSEC_PER_MSEC)
-
-static void submit(struct entry_call *c);
-static void cancel(struct entry_call *c);
-
-/* Free a call that was answered. */
-static void call_free(struct entry_call *c)
+#define FIRST_SUBMIT_TIMEOUT (350 * NSEC_PER_MSEC)
+#define SUBMIT_RETRY_TIMEOUT (600 * NSEC_PER_MSEC)
+/* A store that has answered nothing for this long is considered down. */
+#define STORE_DOWN_TIMEOUT (600 * NSEC_PER_MSEC)
+#define RETRY_AFTER_S	   1
+#define RETRY_AFTER_MAX_S  4
+/* A count of the queue depths is reused for this long. */
+#define QUEUE_DEPTH_AGE_MAX (700 * NSEC_PER_MSEC)
+
+static void store_job(struct entry_call *c);
+static void cancel_job(struct entry_call *c);
+
+static void entry_call_free(struct entry_call *c)
 {
 	c->entry->open--;
 	free(c->host);
@@ -45,8 +44,8 @@
 	free(c);
 }
 
-/* Answer and free. */
-static void answer(struct entry_call *c, int status, const char *body)
+/* Answers a call and frees it. */
+static void reply(struct entry_call *c, int status, const char *body)
 {
 	if (c->entry->stopping)
 		http_reply_header(c->request, "Connection", "close");
@@ -54,21 +53,21 @@
 		http_reply_text(c->request, status, "application/json", body);
 	else
 		http_reply(c->request, status, NULL, "", 0);
-	call_free(c);
+	entry_call_free(c);
 }
 
 /*
- * Seconds that an outage of the store has lasted: it is likely to go on for as long again, and
- * callers come back only a few times.
+ * Retry-After for an outage of the store: the seconds it has lasted so far, as it is likely to
+ * last as long again, and callers retry only a few times.
  */
-static int outage_s(const struct wl_entry *e)
+static int outage_retry_after_s(const struct wl_entry *e)
 {
 	int64_t age = config_feed_age(e->feed);
 
 	return age == INT64_MAX ? 1 : (int)MIN(age / NSEC_PER_SEC, RETRY_AFTER_MAX_S);
 }
 
-/* Refuse with a reason, and the time after which to come again where that helps. */
+/* Answers with an error; retry_after_s is 0 if a retry doesn't help. */
 void entry_call_deny(struct entry_call *c, int status, int retry_after_s, const char *reason)
 {
 	AUTOFREE char *body = NULL;
@@ -78,23 +77,24 @@
 		status, reason,
 		MIN(config_feed_age(c->entry->feed) / NSEC_PER_MSEC, (int64_t)1000000));
 	if (c->kind == PF_CALL_SUBMIT)
-		counter_add(status == 504 ? &unsure_total : &refused_total, 1);
+		counter_add(status == 504 ? &outcome_unknown_total : &refused_total, 1);
 	if (retry_after_s > 0)
-		after = g_strdup_printf("%d", MAX(retry_after_s, outage_s(c->entry)));
+		after = g_strdup_printf(
+			"%d", MAX(retry_after_s, outage_retry_after_s(c->entry)));
 	if (after != NULL)
 		http_reply_header(c->request, "Retry-After", after);
 	xasprintf(&body, "{\"reason\":\"%s\"}", reason);
-	answer(c, status, body);
+	reply(c, status, body);
 }
 
-/* Whether the store's silence has used up the caller's time. */
-static bool out_of_time(const struct entry_call *c)
+/* Whether the call's tries or its time are used up. */
+static bool retries_exhausted(const struct entry_call *c)
 {
-	return c->tries >= TRIES_MAX || loop_now(c->entry->p->loop) >= c->deadline;
+	return c->tries >= STORE_TRIES_MAX || loop_now(c->entry->p->loop) >= c->deadline;
 }
 
-/* The call may be valid only as long as its configuration stands: look it up again. */
-static void route_again(struct entry_call *c)
+/* Routes the call again by the newest configuration, after its own was replaced. */
+static void reroute(struct entry_call *c)
 {
 	free((char *)c->queue);
 	free(c->org);
@@ -103,13 +103,12 @@
 	entry_call_route(c);
 }
 
-/* The store answered to a submission. */
-static void submitted(const struct kv_result *r, void *arg)
+static void on_submit_stored(const struct kv_result *r, void *arg)
 {
 	struct entry_call *c = arg;
 	struct config_feed *feed = c->entry->feed;
 	const struct wl_config *config = config_feed_get(feed);
-	int64_t before = config != NULL ? config->revision : 0;
+	int64_t config_revision = config != NULL ? config->revision : 0;
 	bool exists = false;
 	int64_t now = loop_now(c->entry->p->loop);
 
@@ -126,19 +125,19 @@
 				"job=%s queue=%s org=%s status=200 reason=%s config=%" PRId64
 				" took_ms=%" PRId64,
 				c->id, c->queue, c->org ? c->org : "-",
-				r->status == KV_OK ? "stored" : "known", before,
+				r->status == KV_OK ? "stored" : "known", config_revision,
 				(now - c->arrived) / NSEC_PER_MSEC);
 			counter_add(&accepted_total, 1);
 			histogram_add(&submit_seconds, now - c->arrived);
-			answer(c, 200, NULL);
+			reply(c, 200, NULL);
 			return;
 		}
 		c->tries++;
-		if (out_of_time(c))
+		if (retries_exhausted(c))
 			entry_call_deny(c, c->outcome_unknown ? 504 : 503, RETRY_AFTER_S,
 				"the configuration keeps changing");
 		else
-			route_again(c);
+			reroute(c);
 		return;
 	case KV_REFUSED:
 	case KV_MISSING:
@@ -149,19 +148,19 @@
 		break;
 	case KV_UNSURE:
 		if (c->outcome_unknown)
-			c->tries = TRIES_MAX;
+			c->tries = STORE_TRIES_MAX;
 		c->outcome_unknown = true;
 		break;
 	}
 	c->tries++;
-	if (out_of_time(c))
+	if (retries_exhausted(c))
 		entry_call_deny(c, 504, RETRY_AFTER_S, "it is not known whether it was stored");
 	else
-		submit(c);
+		store_job(c);
 }
 
-/* Store a job, on the condition that it is new and that the configuration still stands. */
-static void submit(struct entry_call *c)
+/* Stores a job, on condition that it is new and that the configuration is unchanged. */
+static void store_job(struct entry_call *c)
 {
 	struct wl_progress progress = {
 		.state = WL_QUEUED, .queue = (char *)c->queue, .org = c->org};
@@ -178,13 +177,13 @@
 	t.expect[1] = (struct kv_expect){job_key, 0};
 	t.write[0] = (struct kv_write){job_key, spec.data, spec.len, 0};
 	t.write[1] = (struct kv_write){state_key, state.data, state.len, 0};
-	t.timeout = c->outcome_unknown ? AGAIN_PATIENCE : FIRST_PATIENCE;
-	kv_commit(c->entry->p->kv, &t, submitted, c);
+	t.timeout = c->outcome_unknown ? SUBMIT_RETRY_TIMEOUT : FIRST_SUBMIT_TIMEOUT;
+	kv_commit(c->entry->p->kv, &t, on_submit_stored, c);
 	bytes_clear(&spec);
 	bytes_clear(&state);
 }
 
-/* A submission whose queue and organisation are known. */
+/* Begins a submission; its queue and organisation are set. */
 static void begin_submit(struct entry_call *c, const struct wl_queue *q)
 {
 	g_autoptr(GError) err = NULL;
@@ -203,11 +202,11 @@
 	c->spec.queue = xstrdup(c->queue);
 	c->spec.service = xstrdup(q->service);
 	c->spec.org = xstrdup(c->org);
-	submit(c);
+	store_job(c);
 }
 
-/* Decode stored progress that the caller may see. */
-static bool visible(
+/* Decodes a job's progress; false if there is none or it is another organisation's. */
+static bool decode_visible_progress(
 	const struct entry_call *c, const struct kv_result *r, struct wl_progress *p)
 {
 	g_autoptr(GError) err = NULL;
@@ -226,8 +225,7 @@
 	return false;
 }
 
-/* The state of a job was read. */
-static void state_read(const struct kv_result *r, void *arg)
+static void on_state_read(const struct kv_result *r, void *arg)
 {
 	struct entry_call *c = arg;
 	struct wl_progress p = {0};
@@ -239,40 +237,39 @@
 		return;
 	}
 	histogram_add(&state_seconds, loop_now(c->entry->p->loop) - c->arrived);
-	if (!visible(c, r, &p)) {
+	if (!decode_visible_progress(c, r, &p)) {
 		event_log(EV_QUERY, "job=%s status=410", c->id);
-		answer(c, 410, NULL);
+		reply(c, 410, NULL);
 		return;
 	}
 	state = p.state;
 	fields_clear(&wl_progress_fields, &p);
 	event_log(EV_QUERY, "job=%s status=200 state=%s", c->id, wl_state_name(state));
 	body = pf_state_body(state);
-	answer(c, 200, body);
+	reply(c, 200, body);
 }
 
-/* The store answered to a cancellation. */
-static void cancelled(const struct kv_result *r, void *arg)
+static void on_cancel_stored(const struct kv_result *r, void *arg)
 {
 	struct entry_call *c = arg;
 
 	config_feed_observe(c->entry->feed, r);
 	if (r->status == KV_OK) {
 		event_log(EV_CANCEL, "job=%s status=200", c->id);
-		answer(c, 200, NULL);
+		reply(c, 200, NULL);
 		return;
 	}
 	c->tries++;
-	if (out_of_time(c) || r->status == KV_REFUSED)
+	if (retries_exhausted(c) || r->status == KV_REFUSED)
 		entry_call_deny(c, 503, RETRY_AFTER_S, "the store does not answer");
 	else if (r->status == KV_CONFLICT)
-		route_again(c);
+		reroute(c);
 	else
-		cancel(c);
+		cancel_job(c);
 }
 
-/* Whether there is such a job to cancel. */
-static void cancel_read(const struct kv_result *r, void *arg)
+/* Stores the request to cancel, unless there is no such job or it has ended. */
+static void on_cancel_state_read(const struct kv_result *r, void *arg)
 {
 	struct entry_call *c = arg;
 	const struct wl_config *config = config_feed_get(c->entry->feed);
@@ -283,52 +280,51 @@
 
 	if (r->status == KV_REFUSED || r->status == KV_UNSURE) {
 		c->tries++;
-		if (out_of_time(c) || r->status == KV_REFUSED)
+		if (retries_exhausted(c) || r->status == KV_REFUSED)
 			entry_call_deny(c, 503, RETRY_AFTER_S, "the store does not answer");
 		else
-			cancel(c);
+			cancel_job(c);
 		return;
 	}
-	if (!visible(c, r, &p)) {
+	if (!decode_visible_progress(c, r, &p)) {
 		event_log(EV_CANCEL, "job=%s status=410", c->id);
-		answer(c, 410, NULL);
+		reply(c, 410, NULL);
 		return;
 	}
 	state = p.state;
 	fields_clear(&wl_progress_fields, &p);
 	if (wl_state_ended(state)) {
 		event_log(EV_CANCEL, "job=%s status=200 state=%s", c->id, wl_state_name(state));
-		answer(c, 200, NULL);
+		reply(c, 200, NULL);
 		return;
 	}
 	xasprintf(&key, KEY_CANCEL "%s", c->id);
 	t.expect[0] = (struct kv_expect){PF_CONFIG_KEY, config->revision};
 	t.write[0] = (struct kv_write){key, "", 0, 0};
-	kv_commit(c->entry->p->kv, &t, cancelled, c);
+	kv_commit(c->entry->p->kv, &t, on_cancel_stored, c);
 }
 
-/* Cancel a job: read it, then write the wish. */
-static void cancel(struct entry_call *c)
+/* Cancels a job; its state is read first. */
+static void cancel_job(struct entry_call *c)
 {
 	AUTOFREE char *key = NULL;
 
 	xasprintf(&key, KEY_PROGRESS "%s", c->id);
-	kv_get(c->entry->p->kv, key, KV_READ_EXACT, cancel_read, c);
+	kv_get(c->entry->p->kv, key, KV_READ_EXACT, on_cancel_state_read, c);
 }
 
-/* Answer with the depth of a queue. */
-static void answer_depth(struct entry_call *c)
+static void reply_depth(struct entry_call *c)
 {
 	uint64_t n = GPOINTER_TO_SIZE(g_hash_table_lookup(c->entry->queue_depth, c->queue));
 	AUTOFREE char *body = pf_depth_body(n);
 
-	answer(c, 200, body);
+	reply(c, 200, body);
 }
 
-static void ask_depth(struct wl_entry *e, const char *after);
+static void read_depth_page(struct wl_entry *e, const char *after);
 
-/* One page of the progress records was read: count those that have not begun. */
-static void depth_read(const struct kv_result *r, void *arg)
+/* Counts the jobs that have not started in one page of the progress records. */
+static void on_depth_page_read(const struct kv_result *r, void *arg)
 {
 	struct wl_entry *e = arg;
 	g_autofree char *last = NULL;
@@ -351,7 +347,7 @@
 	}
 	if (r->status == KV_OK && r->more && r->items_len > 0) {
 		last = g_strdup(r->items[r->items_len - 1].key);
-		ask_depth(e, last);
+		read_depth_page(e, last);
 		return;
 	}
 	e->queue_depth_reading = false;
@@ -367,40 +363,41 @@
 	e->queue_depth_waiters = g_ptr_array_new();
 	for (guint i = 0; i < waiters->len; i++) {
 		if (r->status == KV_OK)
-			answer_depth(waiters->pdata[i]);
+			reply_depth(waiters->pdata[i]);
 		else
 			entry_call_deny(waiters->pdata[i], 503, RETRY_AFTER_S,
 				"the store does not answer");
 	}
 }
 
-/* Count the jobs that have not begun; a cheap read, as the count may be a little old. */
-static void ask_depth(struct wl_entry *e, const char *after)
+/* Reads the next page of progress records; a stale read is cheap and recent enough here. */
+static void read_depth_page(struct wl_entry *e, const char *after)
 {
 	if (e->queue_depth_next == NULL)
 		e->queue_depth_next =
 			g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	e->queue_depth_reading = true;
-	kv_list(e->p->kv, KEY_PROGRESS, after, KV_READ_STALE, depth_read, e);
+	kv_list(e->p->kv, KEY_PROGRESS, after, KV_READ_STALE, on_depth_page_read, e);
 }
 
-/* Answer for a queue's depth now or once it has been counted. */
+/* Answers with a queue's depth, from the last count or once it is counted again. */
 static void begin_depth(struct entry_call *c)
 {
 	struct wl_entry *e = c->entry;
 
 	if (e->queue_depth_at != 0 &&
-		loop_now(e->p->loop) - e->queue_depth_at < DEPTH_MAX_AGE) {
-		answer_depth(c);
+		loop_now(e->p->loop) - e->queue_depth_at < QUEUE_DEPTH_AGE_MAX) {
+		reply_depth(c);
 		return;
 	}
 	g_ptr_array_add(e->queue_depth_waiters, c);
 	if (!e->queue_depth_reading)
-		ask_depth(e, NULL);
+		read_depth_page(e, NULL);
 }
 
-/* Whose call it is; false where it was answered. */
-static bool identify(
+/* Sets the call's organisation, if it has one; false if the key was refused and the call
+ * answered. */
+static bool authenticate(
 	struct entry_call *c, const struct wl_config *config, const struct wl_queue *q)
 {
 	const struct wl_org *org = wl_config_key(config, c->key);
@@ -413,8 +410,8 @@
 	return true;
 }
 
-/* Serve a call by the configuration, which has been proved. */
-static void serve(struct entry_call *c, const struct wl_config *config)
+/* Carries out a call by the given configuration. */
+static void dispatch(struct entry_call *c, const struct wl_config *config)
 {
 	const struct wl_queue *q = wl_config_route(config, c->host, c->path);
 	AUTOFREE char *key = NULL;
@@ -426,7 +423,7 @@
 	}
 	rest = c->path + strlen(q->prefix);
 	c->kind = pf_call_kind(http_method(c->request), rest);
-	if (!identify(c, config, q))
+	if (!authenticate(c, config, q))
 		return;
 	c->queue = xstrdup(q->name);
 	if (c->id == NULL)
@@ -436,11 +433,11 @@
 		begin_submit(c, q);
 		return;
 	case PF_CALL_CANCEL:
-		cancel(c);
+		cancel_job(c);
 		return;
 	case PF_CALL_STATE:
 		xasprintf(&key, KEY_PROGRESS "%s", c->id);
-		kv_get(c->entry->p->kv, key, KV_READ_EXACT, state_read, c);
+		kv_get(c->entry->p->kv, key, KV_READ_EXACT, on_state_read, c);
 		return;
 	case PF_CALL_DEPTH:
 		begin_depth(c);
@@ -451,27 +448,30 @@
 	}
 }
 
-/* The configuration is proved, or cannot be. */
-static void proved(void *arg)
+static void on_config_refreshed(void *arg)
 {
 	struct entry_call *c = arg;
 	struct config_feed *feed = c->entry->feed;
 	const struct wl_config *config = config_feed_get(feed);
 
-	if (config == NULL || config_feed_verified_at(feed) < c->arrived - CONFIG_SLACK) {
+	if (config == NULL ||
+		config_feed_verified_at(feed) < c->arrived - CONFIG_VERIFY_SLACK) {
 		entry_call_deny(c, 503, RETRY_AFTER_S, "the configuration cannot be confirmed");
 		return;
 	}
-	serve(c, config);
+	dispatch(c, config);
 }
 
-/* Whether the store is known not to answer, so that nothing need be tried. */
+/* Whether the store is down, so that trying a call would only take time. */
 static bool store_is_down(const struct wl_entry *e)
 {
-	return kv_silence(e->p->kv) > STORE_SILENCE;
+	return kv_silence(e->p->kv) > STORE_DOWN_TIMEOUT;
 }
 
-/* Route a call: a submission is checked by its own transaction, others by a recent proof. */
+/*
+ * Routes a call. A submission is conditional on the configuration in its own transaction; other
+ * calls need a configuration that was verified recently.
+ */
 void entry_call_route(struct entry_call *c)
 {
 	const struct wl_config *config = config_feed_get(c->entry->feed);
@@ -483,8 +483,9 @@
 	if (strcmp(http_method(c->request), "POST") == 0 && config != NULL &&
 		wl_config_route(config, c->host, c->path) != NULL &&
 		wl_config_key(config, c->key) != NULL) {
-		serve(c, config);
+		dispatch(c, config);
 		return;
 	}
-	config_feed_refresh(c->entry->feed, c->arrived - CONFIG_SLACK, proved, c);
+	config_feed_refresh(
+		c->entry->feed, c->arrived - CONFIG_VERIFY_SLACK, on_config_refreshed, c);
 }
