--- a/packages/daemon/wl-agent.c
+++ b/packages/daemon/wl-agent.c
@@ -251,6 +251,7 @@
 	struct wl_agent *a = arg;
 
 	a->store_call_pending = false;
+	/* A conflict means that another agent has already replaced the key. */
 	if (r->status == KV_OK)
 		campaign(a);
 }
