--- a/packages/daemon/wl-worker-private.h
+++ b/packages/daemon/wl-worker-private.h
@@ -42,14 +42,13 @@
 	bool left;	/* its last heartbeat said that it is leaving */
 	char *instance; /* the worker's id and start time */
 	int64_t instance_started_at;
-	/* The worker's clock, and when an answer told it on ours; clock_at is 0 before. */
+	/* The worker's clock as of clock_at on the agent's; clock_at is 0 if unknown. */
 	int64_t clock_ms;
 	int64_t clock_at;
-	uint64_t term; /* of the coordinator that we follow; 0 for none */
+	uint64_t term; /* the coordinator's; 0 for none */
 	int64_t authority_until;
 	uint64_t last_start_ordinal;
-	/* Highest numbers of the ends of runs that are stored, and that the worker has listed.
-	 */
+	/* Highest number of an ended run that is stored, and that the worker has listed. */
 	uint64_t ends_stored;
 	uint64_t ends_listed;
 	GPtrArray *pending_starts;
