--- a/packages/daemon/wl-entry.c
+++ b/packages/daemon/wl-entry.c
@@ -12,7 +12,7 @@
  */
 #define READY_CONFIG_AGE_MAX (1000 * NSEC_PER_MSEC)
 #define READY_CHECK_PERIOD   (100 * NSEC_PER_MSEC)
-/* The longest time for a call, for which the caller may give an earlier deadline. */
+/* The longest time for a call; its caller may give an earlier deadline. */
 #define CALL_TIMEOUT (2500 * NSEC_PER_MSEC)
 /* Part of the caller's deadline that is reserved for the answer to arrive. */
 #define REPLY_MARGIN (150 * NSEC_PER_MSEC)
