--- a/packages/base/base.h
+++ b/packages/base/base.h
@@ -71,7 +71,7 @@
  * How an error kind is reported to a caller. not_run is true only if the kind alone proves that
  * no part of the job was run.
  */
-struct error_answer {
+struct error_info {
 	const char *name;
 	const char *title;
 	int status;
@@ -83,8 +83,8 @@
 
 #define DP_ERROR error_quark()
 GQuark error_quark(void);
-const struct error_answer *error_answer(enum error_kind kind);
-const struct error_answer *error_info_of(const GError *err);
+const struct error_info *error_info(enum error_kind kind);
+const struct error_info *error_info_of(const GError *err);
 enum error_kind error_kind_of(const GError *err);
 bool error_kind_parse(const char *name, enum error_kind *kind);
 void error_set(GError **err, enum error_kind kind, const char *fmt, ...)
--- a/packages/base/error.c
+++ b/packages/base/error.c
@@ -7,7 +7,7 @@
  * How each error kind is reported to a caller. Kinds that set not_run may only be raised by
  * code that knows that no member was started. Kinds for an uncertain outcome never set it.
  */
-static const struct error_answer error_infos[ERR_COUNT] = {
+static const struct error_info error_infos[ERR_COUNT] = {
 	[ERR_INVALID] = {"invalid", "The request is malformed", 400, true, RETRY_AFTER_CHANGE,
 		0, 2},
 	[ERR_TOO_LARGE] = {"too_large", "The request is too large", 413, true,
@@ -57,7 +57,7 @@
 }
 
 /* Return how a kind is reported; a value out of range is reported as internal. */
-const struct error_answer *error_answer(enum error_kind kind)
+const struct error_info *error_info(enum error_kind kind)
 {
 	return &error_infos[kind < ERR_COUNT ? kind : ERR_INTERNAL];
 }
@@ -71,9 +71,9 @@
 }
 
 /* Return how an error is reported. */
-const struct error_answer *error_info_of(const GError *err)
+const struct error_info *error_info_of(const GError *err)
 {
-	return error_answer(error_kind_of(err));
+	return error_info(error_kind_of(err));
 }
 
 /* Look up a kind by its name; return false if there is none. */
--- a/packages/cli/client.c
+++ b/packages/cli/client.c
@@ -85,9 +85,9 @@
 
 	if (kind_name == NULL || !error_kind_parse(kind_name, &kind)) {
 		fprintf(stderr, "damaskpath: unexpected HTTP status %d\n", resp->status);
-		return error_answer(ERR_INTERNAL)->exit_code;
+		return error_info(ERR_INTERNAL)->exit_code;
 	}
 	fprintf(stderr, "damaskpath: %s: %s%s\n", kind_name, detail != NULL ? detail : "",
 		json_is_true(json_object_get(resp->json, "not_run")) ? " (not run)" : "");
-	return error_answer(kind)->exit_code;
+	return error_info(kind)->exit_code;
 }
--- a/packages/cli/cmd-cluster.c
+++ b/packages/cli/cmd-cluster.c
@@ -16,7 +16,7 @@
 
 	*rows = json_array();
 	if (!client_request(c, "GET", path, NULL, &resp))
-		return error_answer(ERR_NO_COORDINATOR)->exit_code;
+		return error_info(ERR_NO_COORDINATOR)->exit_code;
 	if (resp.status != 200)
 		code = client_report_error(&resp);
 	json_array_foreach(resp.status == 200 ? resp.json : NULL, i, row) {
@@ -29,7 +29,7 @@
 	response_clear(&resp);
 	if (code == EXIT_OK && key != NULL && json_array_size(*rows) == 0) {
 		fprintf(stderr, "damaskpath: %s %s not found\n", key, value);
-		code = error_answer(ERR_NOT_FOUND)->exit_code;
+		code = error_info(ERR_NOT_FOUND)->exit_code;
 	}
 	return code;
 }
@@ -108,11 +108,11 @@
 
 	xasprintf(&path, "/v1/workers/%s/drain?on=%s", worker, on);
 	if (!client_request(c, "POST", path, "", &resp))
-		return error_answer(ERR_NO_COORDINATOR)->exit_code;
+		return error_info(ERR_NO_COORDINATOR)->exit_code;
 	code = resp.status == 200 ? EXIT_OK : client_report_error(&resp);
 	if (code == EXIT_OK && json_array_size(resp.json) == 0) {
 		fprintf(stderr, "damaskpath: worker %s not found\n", worker);
-		code = error_answer(ERR_NOT_FOUND)->exit_code;
+		code = error_info(ERR_NOT_FOUND)->exit_code;
 	}
 	response_clear(&resp);
 	return code;
--- a/packages/cli/cmd-config.c
+++ b/packages/cli/cmd-config.c
@@ -29,7 +29,7 @@
 static bool validate_document(const char *path, const char *text, GPtrArray *sections)
 {
 	struct doc_problems problems = STAILQ_HEAD_INITIALIZER(problems);
-	bool ok = doc_split(text, sections, &problems);
+	bool ok = doc_split_sections(text, sections, &problems);
 
 	if (ok) {
 		GArray *section_array = g_array_new(FALSE, TRUE, sizeof(struct doc_section));
@@ -60,7 +60,7 @@
 	if (argc != 1)
 		return EXIT_USAGE;
 	if (!read_file(argv[0], &text) || !validate_document(argv[0], text, sections))
-		return error_answer(ERR_INVALID)->exit_code;
+		return error_info(ERR_INVALID)->exit_code;
 	printf("%s: %u sections, valid\n", argv[0], sections->len);
 	return EXIT_OK;
 }
@@ -126,7 +126,7 @@
 	xasprintf(&path, "/v1/config/%s?base=%" PRIu64 "&who=%s", section, base_edit,
 		who != NULL && *who != '\0' ? who : "operator");
 	if (!client_request(c, "PUT", path, text, &resp))
-		return error_answer(ERR_NO_COORDINATOR)->exit_code;
+		return error_info(ERR_NO_COORDINATOR)->exit_code;
 	if (resp.status != 200)
 		code = report_put_error(&resp, section);
 	else if (c->json)
@@ -148,14 +148,14 @@
 	if (argc != 1)
 		return EXIT_USAGE;
 	if (!read_file(argv[0], &text) || !validate_document(argv[0], text, sections))
-		return error_answer(ERR_INVALID)->exit_code;
+		return error_info(ERR_INVALID)->exit_code;
 	for (guint i = 0; code == EXIT_OK && i < sections->len; i++) {
 		const struct doc_section *s = sections->pdata[i];
 		AUTOFREE char *current_text = NULL;
 		uint64_t edit;
 
 		if (!fetch_section(c, s->name, &edit, &current_text))
-			return error_answer(ERR_NO_COORDINATOR)->exit_code;
+			return error_info(ERR_NO_COORDINATOR)->exit_code;
 		if (strcmp(current_text, s->text) != 0)
 			code = put_section(c, s->name, s->text, edit);
 		else if (!c->json)
@@ -176,7 +176,7 @@
 		return EXIT_USAGE;
 	xasprintf(&path, "/v1/config%s%s", argc == 1 ? "/" : "", argc == 1 ? argv[0] : "");
 	if (!client_request(c, "GET", path, NULL, &resp))
-		return error_answer(ERR_NO_COORDINATOR)->exit_code;
+		return error_info(ERR_NO_COORDINATOR)->exit_code;
 	if (resp.status != 200)
 		code = client_report_error(&resp);
 	else if (c->json)
@@ -200,11 +200,11 @@
 	if (argc != 2 && argc != 3)
 		return EXIT_USAGE;
 	if (!read_file(argv[1], &text))
-		return error_answer(ERR_INVALID)->exit_code;
+		return error_info(ERR_INVALID)->exit_code;
 	if (argc == 3)
 		base_edit = strtoull(argv[2], NULL, 10);
 	else if (!fetch_section(c, argv[0], &base_edit, &current_text))
-		return error_answer(ERR_NO_COORDINATOR)->exit_code;
+		return error_info(ERR_NO_COORDINATOR)->exit_code;
 	return put_section(c, argv[0], text, base_edit);
 }
 
@@ -235,9 +235,9 @@
 	if (argc != 2)
 		return EXIT_USAGE;
 	if (!read_file(argv[1], &text))
-		return error_answer(ERR_INVALID)->exit_code;
+		return error_info(ERR_INVALID)->exit_code;
 	if (!fetch_section(c, argv[0], &edit, &current_text))
-		return error_answer(ERR_NO_COORDINATOR)->exit_code;
+		return error_info(ERR_NO_COORDINATOR)->exit_code;
 	old_lines = g_strsplit(current_text, "\n", -1);
 	new_lines = g_strsplit(text, "\n", -1);
 	prefix_len = common_lines(old_lines, g_strv_length(old_lines), new_lines,
@@ -267,7 +267,7 @@
 	if (argc != 0)
 		return EXIT_USAGE;
 	if (!client_request(c, "GET", "/v1/config-history", NULL, &resp))
-		return error_answer(ERR_NO_COORDINATOR)->exit_code;
+		return error_info(ERR_NO_COORDINATOR)->exit_code;
 	if (resp.status != 200)
 		code = client_report_error(&resp);
 	else if (c->json)
--- a/packages/cli/cmd-job.c
+++ b/packages/cli/cmd-job.c
@@ -91,7 +91,7 @@
 	c->prefer = a->async->count > 0 ? "respond-async" : NULL;
 	c->key = a->key->count > 0 ? a->key->sval[0] : NULL;
 	if (!client_request(c, "POST", "/v1/jobs", body, &resp))
-		return error_answer(ERR_NO_COORDINATOR)->exit_code;
+		return error_info(ERR_NO_COORDINATOR)->exit_code;
 	if (resp.type != NULL && strcmp(resp.type, "application/problem+json") == 0) {
 		code = client_report_error(&resp);
 	} else if (resp.status == 202 && !c->json) {
@@ -168,7 +168,7 @@
 	int code = EXIT_OK;
 
 	if (!client_request(c, "GET", path, NULL, &resp))
-		return error_answer(ERR_NO_COORDINATOR)->exit_code;
+		return error_info(ERR_NO_COORDINATOR)->exit_code;
 	if (resp.status != 200)
 		code = client_report_error(&resp);
 	else if (c->json)
@@ -238,7 +238,7 @@
 	if (path == NULL)
 		return EXIT_USAGE;
 	if (!client_request(c, "GET", path, NULL, &resp))
-		return error_answer(ERR_NO_COORDINATOR)->exit_code;
+		return error_info(ERR_NO_COORDINATOR)->exit_code;
 	if (resp.type != NULL && strcmp(resp.type, "application/problem+json") == 0)
 		code = client_report_error(&resp);
 	else
@@ -257,7 +257,7 @@
 	if (outcome == NULL || strcmp(outcome, "done") == 0)
 		return EXIT_OK;
 	error_kind_parse(error, &kind);
-	return error_answer(kind)->exit_code;
+	return error_info(kind)->exit_code;
 }
 
 /*
@@ -277,7 +277,7 @@
 		const char *state;
 
 		if (!client_request(c, "GET", path, NULL, &resp))
-			return error_answer(ERR_NO_COORDINATOR)->exit_code;
+			return error_info(ERR_NO_COORDINATOR)->exit_code;
 		state = json_string_value(json_object_get(resp.json, "state"));
 		if (resp.status == 503) {
 			state = "unreachable";
@@ -313,7 +313,7 @@
 	if (path == NULL)
 		return EXIT_USAGE;
 	if (!client_request(c, "DELETE", path, NULL, &resp))
-		return error_answer(ERR_NO_COORDINATOR)->exit_code;
+		return error_info(ERR_NO_COORDINATOR)->exit_code;
 	code = resp.status == 200 ? EXIT_OK : client_report_error(&resp);
 	if (code == EXIT_OK && !c->json)
 		printf("cancelling %s\n", argv[0]);
@@ -338,7 +338,7 @@
 	xasprintf(&path, "/v1/jobs%s%s", c->org != NULL ? "?organisation=" : "",
 		c->org != NULL ? c->org : "");
 	if (!client_request(c, "GET", path, NULL, &resp))
-		return error_answer(ERR_NO_COORDINATOR)->exit_code;
+		return error_info(ERR_NO_COORDINATOR)->exit_code;
 	if (resp.status != 200)
 		code = client_report_error(&resp);
 	else if (c->json)
--- a/packages/coordination/coord-agent.c
+++ b/packages/coordination/coord-agent.c
@@ -77,7 +77,7 @@
 	struct msg m = {.kind = MSG_WELCOME,
 		.welcome = {.term = c->term,
 			.cell = c->cell,
-			.beat_ms = COORD_BEAT_MS,
+			.heartbeat_ms = COORD_BEAT_MS,
 			.lease_ms = COORD_LEASE_MS,
 			.config_revision = c->config_number,
 			.grace_ms = (uint32_t)(c->grace / NSEC_PER_MSEC)}};
--- a/packages/coordination/coord-job.c
+++ b/packages/coordination/coord-job.c
@@ -108,7 +108,7 @@
 	m.answer.result = (struct job_result){.outcome = outcome,
 		.error = kind,
 		.not_run = not_run,
-		.retry_after_s = (uint32_t)error_answer(kind)->retry_after_s,
+		.retry_after_s = (uint32_t)error_info(kind)->retry_after_s,
 		.detail = (char *)detail};
 	coord_send(c, peer, &m);
 }
@@ -196,7 +196,7 @@
 		resubmit_known_job(c, peer, j, m);
 		return;
 	}
-	if (c->handing_over && !m->again) {
+	if (c->handing_over && !m->resubmitted) {
 		send_returned(c, m->spec.id, peer);
 		return;
 	}
@@ -208,11 +208,11 @@
 	}
 	counter_add(&jobs_submitted, 1);
 	j = job_add(c, now, &m->spec);
-	if (m->again)
+	if (m->resubmitted)
 		j->record_attempt = coord_attempt_floor(c);
 	if (m->wait)
 		add_waiter(j, peer);
-	if (m->again && !m->spec.idempotent && m->last_term < c->term &&
+	if (m->resubmitted && !m->spec.idempotent && m->last_term < c->term &&
 		!settle_all_agents_present(c, &m->spec)) {
 		j->may_have_started = true;
 		return;
--- a/packages/coordination/coord-query.c
+++ b/packages/coordination/coord-query.c
@@ -42,7 +42,7 @@
 	json_object_set_new(o, "outcome", json_string(outcome_name(r->outcome)));
 	json_object_set_new(o, "not_run", json_boolean(r->not_run));
 	if (r->outcome != OUTCOME_DONE) {
-		json_object_set_new(o, "error", json_string(error_answer(r->error)->name));
+		json_object_set_new(o, "error", json_string(error_info(r->error)->name));
 		json_object_set_new(o, "detail", json_string(r->detail ? r->detail : ""));
 		json_object_set_new(o, "retry_after_s", json_integer(r->retry_after_s));
 	}
@@ -196,22 +196,22 @@
 {
 	const struct coord_job *j;
 
-	if (strcmp(q->what, "jobs") == 0)
+	if (strcmp(q->query_type, "jobs") == 0)
 		return jobs_json(c, now, q);
-	if (strcmp(q->what, "orgs") == 0)
+	if (strcmp(q->query_type, "orgs") == 0)
 		return orgs_json(c);
-	if (strcmp(q->what, "workers") == 0)
+	if (strcmp(q->query_type, "workers") == 0)
 		return workers_json(c, now);
-	if (strcmp(q->what, "cell") == 0)
+	if (strcmp(q->query_type, "cell") == 0)
 		return cell_json(c, now);
-	if (strcmp(q->what, "audit") == 0)
+	if (strcmp(q->query_type, "audit") == 0)
 		return audit_json(c);
-	if (strcmp(q->what, "drain") == 0)
+	if (strcmp(q->query_type, "drain") == 0)
 		return q->arg != NULL ? drain_json(c, now, q->arg) : NULL;
 	j = job_find(c, q->arg);
 	if (j == NULL || !query_may_see(q, j))
 		return NULL;
-	if (strcmp(q->what, "explain") == 0)
+	if (strcmp(q->query_type, "explain") == 0)
 		return explain_json(c, now, j);
 	return job_json(c, now, j);
 }
@@ -219,7 +219,7 @@
 /* Send the full result of a job to an entry that did not wait for it; false if none is sent. */
 static bool send_result(struct coord *c, peer_id peer, const struct msg_query *q)
 {
-	struct coord_job *j = strcmp(q->what, "result") == 0 ? job_find(c, q->arg) : NULL;
+	struct coord_job *j = strcmp(q->query_type, "result") == 0 ? job_find(c, q->arg) : NULL;
 	struct msg m = {.kind = MSG_ANSWER};
 
 	if (j == NULL || !job_result_sendable(j) || !query_may_see(q, j))
@@ -237,7 +237,7 @@
 	AUTOFREE char *text = NULL;
 	json_t *o;
 
-	if (q->what == NULL || send_result(c, peer, q))
+	if (q->query_type == NULL || send_result(c, peer, q))
 		return;
 	o = query_json(c, now, q);
 	if (o == NULL) {
--- a/packages/coordination/sched-hold.c
+++ b/packages/coordination/sched-hold.c
@@ -102,7 +102,8 @@
 {
 	g_array_set_size(h->pieces, 0);
 	for (guint i = 0; i < pieces->len; i++) {
-		const struct pack_piece *p = &g_array_index(pieces, struct pack_piece, i);
+		const struct pack_allocation *p =
+			&g_array_index(pieces, struct pack_allocation, i);
 		struct hold_piece *existing = piece_on(h, p->worker);
 		struct hold_piece added = {p->worker, p->accelerators, 0};
 
--- a/packages/coordination/sched-plan.c
+++ b/packages/coordination/sched-plan.c
@@ -68,7 +68,7 @@
 /* Packs a whole hold into the given capacities and places it there. */
 static bool pack_hold(struct sched *s, struct sched_hold *h, GArray *capacities)
 {
-	g_autoptr(GArray) pieces = g_array_new(FALSE, TRUE, sizeof(struct pack_piece));
+	g_autoptr(GArray) pieces = g_array_new(FALSE, TRUE, sizeof(struct pack_allocation));
 
 	return pack_remaining(s, h, h->accelerators, capacities, pieces);
 }
@@ -86,11 +86,11 @@
 /* Returns a copy of the placement of a hold, to restore it later. */
 static GArray *copy_pieces(const struct sched_hold *h)
 {
-	GArray *saved = g_array_new(FALSE, TRUE, sizeof(struct pack_piece));
+	GArray *saved = g_array_new(FALSE, TRUE, sizeof(struct pack_allocation));
 
 	for (guint i = 0; i < h->pieces->len; i++) {
 		const struct hold_piece *p = hold_piece_at(h, i);
-		struct pack_piece piece = {0, p->worker, p->accelerators};
+		struct pack_allocation piece = {0, p->worker, p->accelerators};
 
 		g_array_append_val(saved, piece);
 	}
@@ -422,7 +422,7 @@
 		const struct sched_member *m = &j->members[i];
 		struct pack_worker *p =
 			&g_array_index(capacities, struct pack_worker, m->worker);
-		struct pack_piece piece = {0, m->worker, m->accelerators};
+		struct pack_allocation piece = {0, m->worker, m->accelerators};
 
 		if (p->free < m->accelerators)
 			return false;
@@ -450,7 +450,7 @@
 /* Places a hold around a job and charges the job to it. */
 static bool place_around_job(struct sched *s, struct sched_hold *h, struct sched_job *j)
 {
-	g_autoptr(GArray) pieces = g_array_new(FALSE, TRUE, sizeof(struct pack_piece));
+	g_autoptr(GArray) pieces = g_array_new(FALSE, TRUE, sizeof(struct pack_allocation));
 	g_autoptr(GArray) capacities = NULL;
 	bool ok;
 
@@ -485,7 +485,7 @@
 static bool place_inside_job(struct sched *s, struct sched_hold *h, struct sched_job *j)
 {
 	g_autoptr(GArray) capacities = g_array_new(FALSE, TRUE, sizeof(struct pack_worker));
-	g_autoptr(GArray) pieces = g_array_new(FALSE, TRUE, sizeof(struct pack_piece));
+	g_autoptr(GArray) pieces = g_array_new(FALSE, TRUE, sizeof(struct pack_allocation));
 	struct pack_shape shape = {h->accelerators, h->adjacency};
 
 	for (uint32_t i = 0; i < j->members_len; i++) {
@@ -499,7 +499,7 @@
 			pieces))
 		return false;
 	for (guint i = 0; i < pieces->len; i++) {
-		struct pack_piece *p = &g_array_index(pieces, struct pack_piece, i);
+		struct pack_allocation *p = &g_array_index(pieces, struct pack_allocation, i);
 
 		p->worker = j->members[p->worker].worker;
 	}
--- a/packages/coordination/sched.c
+++ b/packages/coordination/sched.c
@@ -330,7 +330,7 @@
 	a->end.outcome = outcome;
 	a->end.error = error;
 	a->end.not_run = not_run;
-	a->end.retry_after_s = (uint32_t)error_answer(error)->retry_after_s;
+	a->end.retry_after_s = (uint32_t)error_info(error)->retry_after_s;
 	va_start(ap, fmt);
 	if (vasprintf(&a->end.detail, fmt, ap) < 0)
 		abort();
--- a/packages/daemon/agent-link.c
+++ b/packages/daemon/agent-link.c
@@ -62,7 +62,7 @@
 	q->ok = cell_term_read(s, a->cell, &q->term, &q->err);
 	if (!q->ok || q->term.held || !q->may_take_term)
 		return;
-	q->term_taken = cell_term_take(
+	q->term_taken = cell_term_acquire(
 		s, a->cell, a->addr, a->name, a->lease_ns / NSEC_PER_SEC, &q->term, &q->err);
 	if (!q->term_taken)
 		return;
--- a/packages/daemon/entry-config-http.c
+++ b/packages/daemon/entry-config-http.c
@@ -132,7 +132,7 @@
 /* GET /v1/config/SECTION. */
 static void get_section(struct http_request *r, const struct entry_view *v, const char *section)
 {
-	const struct doc_section *s = config_find(&v->config, section);
+	const struct doc_section *s = config_find_section(&v->config, section);
 
 	if (s == NULL) {
 		http_reply_problem(r, ERR_NOT_FOUND, "the section does not exist", NULL);
--- a/packages/daemon/entry-http.c
+++ b/packages/daemon/entry-http.c
@@ -11,7 +11,7 @@
 
 /* Posts a query to the loop; a NULL cell queries all cells. */
 static void post_query(struct entry *e, struct http_request *r, const char *cell,
-	const char *what, const char *arg, const char *org)
+	const char *query_type, const char *arg, const char *org)
 {
 	struct open_query *q = xcalloc(1, sizeof(*q));
 
@@ -20,7 +20,7 @@
 	q->cell = xstrdup(cell);
 	q->gather = cell == NULL;
 	q->msg.kind = MSG_QUERY;
-	q->msg.query.what = xstrdup(what);
+	q->msg.query.query_type = xstrdup(query_type);
 	q->msg.query.arg = xstrdup(arg);
 	q->msg.query.org = xstrdup(org);
 	loop_post(e->p->loop, query_open_posted, q);
@@ -133,7 +133,7 @@
 /* Paths of lists that are merged from the replies of all cells. */
 static const struct list_route {
 	const char *path;
-	const char *what;
+	const char *query_type;
 	bool operators_only;
 } list_routes[] = {
 	{"/v1/jobs", "jobs", false},
@@ -156,7 +156,7 @@
 			http_reply_problem(
 				r, ERR_UNAUTHORISED, "an operator's token is needed", NULL);
 		else if (list_routes[i].operators_only || reader_org(r, v, &org))
-			post_query(e, r, NULL, list_routes[i].what, NULL, org);
+			post_query(e, r, NULL, list_routes[i].query_type, NULL, org);
 		return true;
 	}
 	return false;
--- a/packages/daemon/entry-job.c
+++ b/packages/daemon/entry-job.c
@@ -108,8 +108,10 @@
 	int64_t now = loop_now(j->entry->p->loop);
 	struct msg m = {.kind = MSG_SUBMIT};
 
-	m.submit = (struct msg_submit){
-		.spec = j->spec, .again = j->sent, .last_term = j->last_term, .wait = true};
+	m.submit = (struct msg_submit){.spec = j->spec,
+		.resubmitted = j->sent,
+		.last_term = j->last_term,
+		.wait = true};
 	if (j->deadline_at > 0)
 		m.submit.spec.deadline_ms = MAX((j->deadline_at - now) / NSEC_PER_MSEC, 1);
 	if (!link_send_msg(j->entry, l, &m))
--- a/packages/daemon/entry-query.c
+++ b/packages/daemon/entry-query.c
@@ -11,7 +11,7 @@
 {
 	g_hash_table_remove(q->entry->queries, &q->id);
 	free(q->cell);
-	free(q->msg.kind == MSG_QUERY ? q->msg.query.what : q->msg.cancel.job);
+	free(q->msg.kind == MSG_QUERY ? q->msg.query.query_type : q->msg.cancel.job);
 	if (q->msg.kind == MSG_QUERY) {
 		free(q->msg.query.arg);
 		free(q->msg.query.org);
--- a/packages/daemon/main.c
+++ b/packages/daemon/main.c
@@ -111,7 +111,7 @@
 
 	if (!g_file_get_contents(path, &text, NULL, err))
 		return false;
-	ok = doc_split(text, sections, &problems);
+	ok = doc_split_sections(text, sections, &problems);
 	for (guint i = 0; ok && i < sections->len; i++) {
 		struct doc_section *section = sections->pdata[i];
 		struct config_edit edit = {.section = section->name,
--- a/packages/daemon/wl-agent.c
+++ b/packages/daemon/wl-agent.c
@@ -180,7 +180,7 @@
 	a->store_call_pending = false;
 	if (r->status == KV_OK) {
 		if (!a->stopping && a->coord == NULL)
-			become_coordinator(a, a->stored_term + 1, r->at);
+			become_coordinator(a, a->stored_term + 1, r->store_revision);
 		return;
 	}
 	for (size_t i = 0; r->status == KV_CONFLICT && i < r->items_len; i++) {
@@ -197,7 +197,7 @@
 		}
 	}
 	/* Without an answer the key may have been written: its lease must not be reused. */
-	if (r->status == KV_UNSURE || r->status == KV_MISSING)
+	if (r->status == KV_OUTCOME_UNKNOWN || r->status == KV_NOT_FOUND)
 		a->lease = 0;
 	else if (r->status == KV_CONFLICT && !a->stopping)
 		campaign(a);
@@ -209,8 +209,8 @@
 	g_autofree char *term = g_strdup_printf("%" PRIu64, a->stored_term + 1);
 	struct kv_txn t = {.expect_len = 2, .write_len = 2};
 
-	t.expect[0] = (struct kv_expect){KEY_COORDINATOR_ADDR, 0};
-	t.expect[1] = (struct kv_expect){KEY_TERM, a->stored_term_revision};
+	t.expect[0] = (struct kv_condition){KEY_COORDINATOR_ADDR, 0};
+	t.expect[1] = (struct kv_condition){KEY_TERM, a->stored_term_revision};
 	t.write[0] = (struct kv_write){KEY_TERM, term, strlen(term), 0};
 	t.write[1] = (struct kv_write){
 		KEY_COORDINATOR_ADDR, a->own_addr, strlen(a->own_addr), a->lease};
@@ -266,7 +266,7 @@
 
 	if (a->stopping)
 		return;
-	t.expect[0] = (struct kv_expect){KEY_COORDINATOR_ADDR, revision};
+	t.expect[0] = (struct kv_condition){KEY_COORDINATOR_ADDR, revision};
 	t.remove[0] = KEY_COORDINATOR_ADDR;
 	a->store_call_pending = true;
 	a->store_call_at = agent_now(a);
@@ -294,7 +294,7 @@
 			dial(a, addr);
 		return;
 	}
-	if (r->status == KV_MISSING && a->campaign_at == 0)
+	if (r->status == KV_NOT_FOUND && a->campaign_at == 0)
 		a->campaign_at =
 			agent_now(a) + (int64_t)(random_u64() % (uint64_t)CAMPAIGN_DELAY_MAX);
 }
--- a/packages/daemon/wl-config-feed.c
+++ b/packages/daemon/wl-config-feed.c
@@ -144,7 +144,7 @@
 		kv_get(f->p->kv, PF_CONFIG_KEY, KV_READ_EXACT, on_check_reply, f);
 		return;
 	}
-	t.expect[0] = (struct kv_expect){PF_CONFIG_KEY, f->revision};
+	t.expect[0] = (struct kv_condition){PF_CONFIG_KEY, f->revision};
 	kv_commit(f->p->kv, &t, on_check_reply, f);
 }
 
--- a/packages/daemon/wl-coord-inbox.c
+++ b/packages/daemon/wl-coord-inbox.c
@@ -110,26 +110,27 @@
 	case KV_OK:
 		for (size_t i = 0; i < r->items_len && !c->lost; i++)
 			read_inbox_item(c, &r->items[i]);
-		if (r->at > c->watch_revision)
-			c->watch_revision = r->at;
+		if (r->store_revision > c->watch_revision)
+			c->watch_revision = r->store_revision;
 		if (c->lost)
 			return;
 		if (r->items_len > 0)
 			coord_request_pass(c);
 		watch_inbox(c);
 		return;
-	case KV_MISSING:
+	case KV_NOT_FOUND:
 		c->watch_revision = 0;
 		list_inbox(c, NULL);
 		return;
 	case KV_CONFLICT:
 	case KV_REFUSED:
-	case KV_UNSURE:
+	case KV_OUTCOME_UNKNOWN:
 		break;
 	}
 	if (c->watch_timer == NULL)
 		c->watch_timer = loop_timer_add(c->p->loop,
-			r->status == KV_UNSURE ? 0 : STORE_RETRY_DELAY, 0, on_watch_timer, c);
+			r->status == KV_OUTCOME_UNKNOWN ? 0 : STORE_RETRY_DELAY, 0,
+			on_watch_timer, c);
 }
 
 static void watch_inbox(struct wl_coord *c)
@@ -185,12 +186,12 @@
 	if (!check_page(c, r, on_inbox_retry))
 		return;
 	if (c->watch_revision == 0)
-		c->watch_revision = r->at;
+		c->watch_revision = r->store_revision;
 	for (size_t i = 0; i < r->items_len && !c->lost; i++)
 		read_inbox_item(c, &r->items[i]);
 	if (c->lost)
 		return;
-	if (r->more && r->items_len > 0)
+	if (r->has_more && r->items_len > 0)
 		list_inbox(c, r->items[r->items_len - 1].key);
 	else
 		on_inbox_complete(c);
@@ -229,7 +230,7 @@
 		g_hash_table_replace(c->stored_progress, g_strdup(id), b);
 		record_writer_set_revision(c->records, id, r->items[i].revision);
 	}
-	if (r->more && r->items_len > 0)
+	if (r->has_more && r->items_len > 0)
 		list_progress(c, r->items[r->items_len - 1].key);
 	else
 		list_inbox(c, NULL);
@@ -257,7 +258,7 @@
 		record_writer_add_stored_node(c->records, node);
 		wl_node_await_report(c->wl, loop_now(c->p->loop), node);
 	}
-	if (r->more && r->items_len > 0)
+	if (r->has_more && r->items_len > 0)
 		list_nodes(c, r->items[r->items_len - 1].key);
 	else
 		list_progress(c, NULL);
--- a/packages/daemon/wl-coord-records.c
+++ b/packages/daemon/wl-coord-records.c
@@ -197,7 +197,7 @@
 			g_hash_table_remove(r->records, rec->id);
 		return;
 	}
-	rec->revision = MAX(rec->revision, res->at);
+	rec->revision = MAX(rec->revision, res->store_revision);
 	wl_job_stored(r->wl, loop_now(r->p->loop), rec->id, rec->version);
 }
 
@@ -328,7 +328,7 @@
 	g_ptr_array_add(b->values, value);
 	if (value->data == NULL)
 		return;
-	b->txn.expect[b->txn.expect_len++] = (struct kv_expect){key, rec->revision};
+	b->txn.expect[b->txn.expect_len++] = (struct kv_condition){key, rec->revision};
 	b->txn.write[b->txn.write_len++] = (struct kv_write){key, value->data, value->len, 0};
 	rec->in_flight = true;
 }
@@ -343,7 +343,7 @@
 	struct batch b = {.keys = g_ptr_array_new_with_free_func(free),
 		.values = g_ptr_array_new_with_free_func(batch_value_free)};
 
-	b.txn.expect[0] = (struct kv_expect){KEY_TERM, r->term_revision};
+	b.txn.expect[0] = (struct kv_condition){KEY_TERM, r->term_revision};
 	b.txn.expect_len = 1;
 	if (!r->commit_in_flight && !r->term_lost && r->retry == NULL) {
 		add_nodes(r, &b);
--- a/packages/daemon/wl-coord.c
+++ b/packages/daemon/wl-coord.c
@@ -317,7 +317,7 @@
 		return;
 	if (r->status == KV_OK)
 		c->term_confirmed_at = MAX(c->term_confirmed_at, r->sent);
-	else if (r->status == KV_MISSING)
+	else if (r->status == KV_NOT_FOUND)
 		coord_lose_term(c, "lease expired");
 }
 
@@ -330,7 +330,7 @@
 		return;
 	c->renewing_lease = true;
 	c->calls_in_flight++;
-	kv_lease_keep(c->p->kv, c->lease, on_lease_renewed, c);
+	kv_lease_keepalive(c->p->kv, c->lease, on_lease_renewed, c);
 }
 
 /* Disconnects silent agents, and removes the records of gone nodes and expired jobs. */
@@ -456,7 +456,7 @@
 		send_beat(c, c->agents->pdata[i], 0);
 	event_log(EV_TERM_LOST, "term=%" PRIu64 " why=\"process is stopping\"", c->term);
 	c->calls_in_flight++;
-	kv_lease_end(c->p->kv, c->lease, on_lease_revoked, c);
+	kv_lease_revoke(c->p->kv, c->lease, on_lease_revoked, c);
 }
 
 bool wl_coord_idle(const struct wl_coord *c)
--- a/packages/daemon/wl-entry-job.c
+++ b/packages/daemon/wl-entry-job.c
@@ -140,13 +140,13 @@
 			reroute(c);
 		return;
 	case KV_REFUSED:
-	case KV_MISSING:
+	case KV_NOT_FOUND:
 		if (!c->outcome_unknown) {
 			entry_call_deny(c, 503, RETRY_AFTER_S, "the store refuses");
 			return;
 		}
 		break;
-	case KV_UNSURE:
+	case KV_OUTCOME_UNKNOWN:
 		if (c->outcome_unknown)
 			c->tries = STORE_TRIES_MAX;
 		c->outcome_unknown = true;
@@ -173,8 +173,8 @@
 
 	xasprintf(&job_key, KEY_JOB "%s", c->id);
 	xasprintf(&state_key, KEY_PROGRESS "%s", c->id);
-	t.expect[0] = (struct kv_expect){PF_CONFIG_KEY, config->revision};
-	t.expect[1] = (struct kv_expect){job_key, 0};
+	t.expect[0] = (struct kv_condition){PF_CONFIG_KEY, config->revision};
+	t.expect[1] = (struct kv_condition){job_key, 0};
 	t.write[0] = (struct kv_write){job_key, spec.data, spec.len, 0};
 	t.write[1] = (struct kv_write){state_key, state.data, state.len, 0};
 	t.timeout = c->outcome_unknown ? SUBMIT_RETRY_TIMEOUT : FIRST_SUBMIT_TIMEOUT;
@@ -232,7 +232,7 @@
 	AUTOFREE char *body = NULL;
 	uint32_t state;
 
-	if (r->status == KV_REFUSED || r->status == KV_UNSURE) {
+	if (r->status == KV_REFUSED || r->status == KV_OUTCOME_UNKNOWN) {
 		entry_call_deny(c, 503, RETRY_AFTER_S, "the store does not answer");
 		return;
 	}
@@ -278,7 +278,7 @@
 	struct kv_txn t = {.expect_len = 1, .write_len = 1};
 	uint32_t state;
 
-	if (r->status == KV_REFUSED || r->status == KV_UNSURE) {
+	if (r->status == KV_REFUSED || r->status == KV_OUTCOME_UNKNOWN) {
 		c->tries++;
 		if (retries_exhausted(c) || r->status == KV_REFUSED)
 			entry_call_deny(c, 503, RETRY_AFTER_S, "the store does not answer");
@@ -299,7 +299,7 @@
 		return;
 	}
 	xasprintf(&key, KEY_CANCEL "%s", c->id);
-	t.expect[0] = (struct kv_expect){PF_CONFIG_KEY, config->revision};
+	t.expect[0] = (struct kv_condition){PF_CONFIG_KEY, config->revision};
 	t.write[0] = (struct kv_write){key, "", 0, 0};
 	kv_commit(c->entry->p->kv, &t, on_cancel_stored, c);
 }
@@ -345,7 +345,7 @@
 		}
 		fields_clear(&wl_progress_fields, &p);
 	}
-	if (r->status == KV_OK && r->more && r->items_len > 0) {
+	if (r->status == KV_OK && r->has_more && r->items_len > 0) {
 		last = g_strdup(r->items[r->items_len - 1].key);
 		read_depth_page(e, last);
 		return;
@@ -465,7 +465,7 @@
 /* Whether the store is down, so that trying a call would only take time. */
 static bool store_is_down(const struct wl_entry *e)
 {
-	return kv_silence(e->p->kv) > STORE_DOWN_TIMEOUT;
+	return kv_unanswered_ns(e->p->kv) > STORE_DOWN_TIMEOUT;
 }
 
 /*
--- a/packages/protocol/field-macros.h
+++ b/packages/protocol/field-macros.h
@@ -18,12 +18,13 @@
 #define BYTES(s, f) FIELD(FIELD_BYTES, s, f)
 #define STRUCT(s, f, t)                                                                        \
 	{                                                                                      \
-		.kind = FIELD_STRUCT, .offset = offsetof(struct s, f), .sub = &t##_fields      \
+		.kind = FIELD_STRUCT, .offset = offsetof(struct s, f),                         \
+		.nested_table = &t##_fields                                                    \
 	}
 #define LIST(s, f, t)                                                                          \
 	{                                                                                      \
 		.kind = FIELD_LIST, .offset = offsetof(struct s, f),                           \
-		.len_offset = offsetof(struct s, f##_len), .sub = &t##_fields                  \
+		.len_offset = offsetof(struct s, f##_len), .nested_table = &t##_fields         \
 	}
 #define TABLE(s)                                                                               \
 	{                                                                                      \
--- a/packages/protocol/field.c
+++ b/packages/protocol/field.c
@@ -51,13 +51,14 @@
 		msgpack_pack_bin_with_body(pk, b->data ? b->data : "", b->len);
 		break;
 	case FIELD_STRUCT:
-		pack_struct(pk, f->sub, FIELD_PTR(s, f, char));
+		pack_struct(pk, f->nested_table, FIELD_PTR(s, f, char));
 		break;
 	case FIELD_LIST:
 		n = *(uint32_t *)((char *)s + f->len_offset);
 		msgpack_pack_array(pk, n);
 		for (uint32_t i = 0; i < n; i++)
-			pack_struct(pk, f->sub, *FIELD_PTR(s, f, char *) + i * f->sub->size);
+			pack_struct(pk, f->nested_table,
+				*FIELD_PTR(s, f, char *) + i * f->nested_table->size);
 		break;
 	}
 }
@@ -96,11 +97,12 @@
 	if (o->type != MSGPACK_OBJECT_ARRAY || o->via.array.size > LIST_ITEMS_MAX)
 		return false;
 	n = o->via.array.size;
-	items = xcalloc(n, f->sub->size);
+	items = xcalloc(n, f->nested_table->size);
 	*FIELD_PTR(s, f, char *) = items;
 	*(uint32_t *)((char *)s + f->len_offset) = n;
 	for (uint32_t i = 0; i < n; i++) {
-		if (!unpack_struct(f->sub, items + i * f->sub->size, &o->via.array.ptr[i]))
+		if (!unpack_struct(f->nested_table, items + i * f->nested_table->size,
+			    &o->via.array.ptr[i]))
 			return false;
 	}
 	return true;
@@ -152,7 +154,7 @@
 		*FIELD_PTR(s, f, struct bytes) = bytes_copy(o->via.bin.ptr, o->via.bin.size);
 		return true;
 	case FIELD_STRUCT:
-		return unpack_struct(f->sub, FIELD_PTR(s, f, char), o);
+		return unpack_struct(f->nested_table, FIELD_PTR(s, f, char), o);
 	case FIELD_LIST:
 		return unpack_list(f, s, o);
 	}
@@ -205,13 +207,13 @@
 			bytes_clear(FIELD_PTR(s, f, struct bytes));
 			break;
 		case FIELD_STRUCT:
-			fields_clear(f->sub, FIELD_PTR(s, f, char));
+			fields_clear(f->nested_table, FIELD_PTR(s, f, char));
 			break;
 		case FIELD_LIST:
 			n = *(uint32_t *)((char *)s + f->len_offset);
 			for (uint32_t j = 0; j < n; j++)
-				fields_clear(
-					f->sub, *FIELD_PTR(s, f, char *) + j * f->sub->size);
+				fields_clear(f->nested_table,
+					*FIELD_PTR(s, f, char *) + j * f->nested_table->size);
 			free(*FIELD_PTR(s, f, char *));
 			break;
 		case FIELD_U32:
@@ -244,14 +246,16 @@
 				*FIELD_PTR(to, f, struct bytes) = bytes_copy(b->data, b->len);
 			break;
 		case FIELD_STRUCT:
-			fields_copy(f->sub, FIELD_PTR(to, f, char), FIELD_PTR(from, f, char));
+			fields_copy(f->nested_table, FIELD_PTR(to, f, char),
+				FIELD_PTR(from, f, char));
 			break;
 		case FIELD_LIST:
 			n = *(const uint32_t *)((const char *)from + f->len_offset);
-			items = xcalloc(n, f->sub->size);
+			items = xcalloc(n, f->nested_table->size);
 			for (uint32_t j = 0; j < n; j++)
-				fields_copy(f->sub, items + j * f->sub->size,
-					*FIELD_PTR(from, f, char *) + j * f->sub->size);
+				fields_copy(f->nested_table, items + j * f->nested_table->size,
+					*FIELD_PTR(from, f, char *) +
+						j * f->nested_table->size);
 			*FIELD_PTR(to, f, char *) = items;
 			break;
 		case FIELD_U32:
--- a/packages/protocol/message.c
+++ b/packages/protocol/message.c
@@ -53,7 +53,7 @@
 static const struct field msg_welcome_list[] = {
 	U64(msg_welcome, term),
 	TEXT(msg_welcome, cell),
-	U32(msg_welcome, beat_ms),
+	U32(msg_welcome, heartbeat_ms),
 	U32(msg_welcome, lease_ms),
 	U64(msg_welcome, config_revision),
 	U32(msg_welcome, grace_ms),
@@ -181,7 +181,7 @@
 
 static const struct field msg_submit_list[] = {
 	STRUCT(msg_submit, spec, job_spec),
-	BOOL(msg_submit, again),
+	BOOL(msg_submit, resubmitted),
 	U64(msg_submit, last_term),
 	BOOL(msg_submit, wait),
 };
@@ -206,7 +206,7 @@
 
 static const struct field msg_query_list[] = {
 	U64(msg_query, request),
-	TEXT(msg_query, what),
+	TEXT(msg_query, query_type),
 	TEXT(msg_query, arg),
 	TEXT(msg_query, org),
 };
@@ -229,7 +229,7 @@
 	U32(msg_summary, largest_rack),
 	U32(msg_summary, queued),
 	U32(msg_summary, running),
-	U32(msg_summary, oldest_ms),
+	U32(msg_summary, oldest_queued_ms),
 	U64(msg_summary, config_revision),
 };
 static const struct field_table msg_summary_fields = TABLE(msg_summary);
--- a/packages/protocol/protocol.h
+++ b/packages/protocol/protocol.h
@@ -91,7 +91,7 @@
 struct msg_welcome {
 	uint64_t term;
 	char *cell;
-	uint32_t beat_ms;
+	uint32_t heartbeat_ms;
 	uint32_t lease_ms;
 	uint64_t config_revision;
 	uint32_t grace_ms;
@@ -243,7 +243,7 @@
  */
 struct msg_submit {
 	struct job_spec spec;
-	bool again;
+	bool resubmitted;
 	uint64_t last_term;
 	bool wait;
 };
@@ -267,7 +267,7 @@
 };
 struct msg_query {
 	uint64_t request;
-	char *what;
+	char *query_type;
 	char *arg;
 	char *org;
 };
@@ -278,7 +278,7 @@
 	char *json;
 };
 
-/* Load of a cell, for the entries. oldest_ms is the age of the oldest queued job. */
+/* Load of a cell, for the entries. oldest_queued_ms is the age of the oldest queued job. */
 struct msg_summary {
 	uint64_t term;
 	char *cell;
@@ -288,7 +288,7 @@
 	uint32_t largest_rack;
 	uint32_t queued;
 	uint32_t running;
-	uint32_t oldest_ms;
+	uint32_t oldest_queued_ms;
 	uint64_t config_revision;
 };
 
@@ -357,7 +357,7 @@
 	enum field_kind kind;
 	size_t offset;
 	size_t len_offset;
-	const struct field_table *sub;
+	const struct field_table *nested_table;
 };
 struct field_table {
 	const char *name;
--- a/packages/standin/standin-store.c
+++ b/packages/standin/standin-store.c
@@ -60,7 +60,7 @@
 {
 	struct bytes b = {0};
 
-	store_json_decode64(json_object_get(o, name), &b);
+	store_json_decode_base64(json_object_get(o, name), &b);
 	return b.data;
 }
 
@@ -105,7 +105,7 @@
 		.key = decode_text_member(in, "key")};
 	struct bytes value = {0};
 
-	store_json_decode64(json_object_get(in, "value"), &value);
+	store_json_decode_base64(json_object_get(in, "value"), &value);
 	op.value = value.data;
 	op.len = value.len;
 	op.lease = store_json_get_int(json_object_get(in, "lease"));
@@ -267,7 +267,7 @@
 	if (v != NULL)
 		__atomic_store_n(&faults.drop_answers, json_integer_value(v), __ATOMIC_RELAXED);
 	if (json_is_true(json_object_get(in, "expire_leases")))
-		store_embedded_expire(store);
+		store_embedded_expire_leases(store);
 	if (json_is_true(json_object_get(in, "compact")))
 		store_embedded_compact(store);
 	return json_object();
--- a/packages/state/cell-term.c
+++ b/packages/state/cell-term.c
@@ -163,7 +163,7 @@
  * acquired it first; the caller must read it again. On success *t holds the new term, its
  * lease and the roster saved during the previous term.
  */
-bool cell_term_take(struct store *s, const char *cell, const char *addr, const char *name,
+bool cell_term_acquire(struct store *s, const char *cell, const char *addr, const char *name,
 	int64_t ttl_s, struct cell_term *t, GError **err)
 {
 	AUTOFREE char *token = random_hex(TOKEN_BYTES);
--- a/packages/state/config-store.c
+++ b/packages/state/config-store.c
@@ -19,7 +19,8 @@
 #define TOKEN_BYTES	  8
 
 /* Find a section of a snapshot by name; NULL if it does not exist. */
-const struct doc_section *config_find(const struct config_snapshot *c, const char *section)
+const struct doc_section *config_find_section(
+	const struct config_snapshot *c, const char *section)
 {
 	for (guint i = 0; c->sections != NULL && i < c->sections->len; i++) {
 		const struct doc_section *s = c->sections->pdata[i];
@@ -124,7 +125,7 @@
 
 	json_object_foreach(names, name, value) {
 		uint64_t number = (uint64_t)json_integer_value(value);
-		const struct doc_section *have = config_find(old, name);
+		const struct doc_section *have = config_find_section(old, name);
 
 		if (have != NULL && have->number == number)
 			g_ptr_array_add(sections, section_new(name, have->text, number));
@@ -209,7 +210,7 @@
 	if (*edit->text != '\0')
 		g_array_append_val(all, edited);
 	d = doc_parse_sections((struct doc_section *)all->data, all->len, problems);
-	if (STAILQ_EMPTY(problems) && config_find(c, "cluster") != NULL)
+	if (STAILQ_EMPTY(problems) && config_find_section(c, "cluster") != NULL)
 		doc_check(d, problems);
 	doc_free(d);
 	g_array_unref(all);
@@ -340,7 +341,7 @@
 
 		if (!config_load(s, &c, err))
 			break;
-		now = config_find(&c, edit->section);
+		now = config_find_section(&c, edit->section);
 		if ((now != NULL ? now->number : 0) != edit->base) {
 			report_current(now, current);
 			error_set(err, ERR_CONFLICT,
--- a/packages/state/document-check.c
+++ b/packages/state/document-check.c
@@ -31,7 +31,7 @@
 	GArray *workers = declared_workers(d);
 	GArray *shapes = g_array_new(FALSE, TRUE, sizeof(struct pack_shape));
 	GPtrArray *owners = g_ptr_array_new();
-	GArray *allocations = g_array_new(FALSE, TRUE, sizeof(struct pack_piece));
+	GArray *allocations = g_array_new(FALSE, TRUE, sizeof(struct pack_allocation));
 	const struct doc_org *o;
 	struct doc_guarantee *g;
 	uint32_t failed = 0;
--- a/packages/state/document-parse.c
+++ b/packages/state/document-parse.c
@@ -81,9 +81,9 @@
 		(p)->problems, (p)->section->name, (p)->line, (p)->column, key, __VA_ARGS__)
 
 /* Return the current position; the caller frees its section. */
-static struct doc_where current_location(const struct parser *p)
+static struct doc_location current_location(const struct parser *p)
 {
-	return (struct doc_where){
+	return (struct doc_location){
 		.section = xstrdup(p->section->name), .line = p->line, .column = p->column};
 }
 
@@ -698,7 +698,7 @@
 }
 
 /* Split a whole document into sections; false if there are problems. */
-bool doc_split(const char *text, GPtrArray *sections, struct doc_problems *problems)
+bool doc_split_sections(const char *text, GPtrArray *sections, struct doc_problems *problems)
 {
 	struct doc_section whole_text = {.name = "document", .first_line = 1};
 	struct parser p = {.section = &whole_text,
--- a/packages/state/job-store.c
+++ b/packages/state/job-store.c
@@ -10,12 +10,12 @@
 static const struct field job_record_list[] = {
 	{.kind = FIELD_STRUCT,
 		.offset = offsetof(struct job_record, spec),
-		.sub = &job_spec_fields},
+		.nested_table = &job_spec_fields},
 	{.kind = FIELD_U32, .offset = offsetof(struct job_record, attempt)},
 	{.kind = FIELD_TEXT, .offset = offsetof(struct job_record, placed)},
 	{.kind = FIELD_STRUCT,
 		.offset = offsetof(struct job_record, result),
-		.sub = &job_result_fields},
+		.nested_table = &job_result_fields},
 	{.kind = FIELD_I64, .offset = offsetof(struct job_record, ended_wall_ms)},
 };
 const struct field_table job_record_fields = {.name = "job_record",
--- a/packages/state/shape-pack.c
+++ b/packages/state/shape-pack.c
@@ -14,7 +14,7 @@
 static void allocate(struct pack_worker *workers, uint32_t worker, uint32_t n, uint32_t shape,
 	GArray *pieces)
 {
-	struct pack_piece piece = {.shape = shape, .worker = worker, .accelerators = n};
+	struct pack_allocation piece = {.shape = shape, .worker = worker, .accelerators = n};
 
 	workers[worker].free -= n;
 	g_array_append_val(pieces, piece);
--- a/packages/state/state.h
+++ b/packages/state/state.h
@@ -78,7 +78,7 @@
 
 /* store-embedded.c */
 struct store *store_embedded_new(const struct clock *clock);
-void store_embedded_expire(struct store *s);
+void store_embedded_expire_leases(struct store *s);
 void store_embedded_compact(struct store *s);
 int64_t store_embedded_revision(struct store *s);
 
@@ -89,17 +89,17 @@
 enum store_fault {
 	STORE_FAULT_NONE,
 	/* Fail without running the call. */
-	STORE_FAULT_BEFORE,
+	STORE_FAULT_NOT_APPLIED,
 	/* Run the call, then report that its response was lost. */
-	STORE_FAULT_AFTER
+	STORE_FAULT_RESPONSE_LOST
 };
 /* Selects the fault for a call: "range", "txn", "grant", "keepalive", "revoke" or "watch". */
 typedef enum store_fault store_fault_fn(const char *call, void *arg);
 struct store *store_faulty_new(struct store *inner, store_fault_fn *fn, void *arg);
 
 /* store-json.c: encoding of etcd v3 JSON messages, shared by client and test server. */
-char *store_json_encode64(const void *data, size_t len);
-bool store_json_decode64(const json_t *text, struct bytes *out);
+char *store_json_encode_base64(const void *data, size_t len);
+bool store_json_decode_base64(const json_t *text, struct bytes *out);
 int64_t store_json_get_int(const json_t *v);
 char *store_json_prefix_end(const char *prefix);
 json_t *store_json_encode_kv(const struct store_kv *kv);
@@ -109,7 +109,7 @@
 /* document.c: the cluster configuration document. Durations are in nanoseconds. */
 #define DOC_CLASS_PRIORITY_MAX 9
 
-struct doc_where {
+struct doc_location {
 	char *section;
 	int line;
 	int column;
@@ -126,7 +126,7 @@
 	uint32_t accelerators;
 	enum adjacency adjacency;
 	uint32_t count;
-	struct doc_where where;
+	struct doc_location where;
 	STAILQ_ENTRY(doc_guarantee) entry;
 };
 struct doc_org {
@@ -138,7 +138,7 @@
 	uint32_t rate_per_second;
 	uint32_t rate_burst;
 	uint32_t index;
-	struct doc_where where;
+	struct doc_location where;
 	STAILQ_HEAD(, doc_guarantee) guarantees;
 	STAILQ_ENTRY(doc_org) entry;
 };
@@ -204,7 +204,7 @@
 /* document-parse.c */
 struct doc *doc_parse_sections(
 	const struct doc_section *sections, size_t len, struct doc_problems *problems);
-bool doc_split(const char *text, GPtrArray *sections, struct doc_problems *problems);
+bool doc_split_sections(const char *text, GPtrArray *sections, struct doc_problems *problems);
 void doc_section_free(void *section);
 
 /*
@@ -219,7 +219,7 @@
 	uint32_t accelerators;
 	enum adjacency adjacency;
 };
-struct pack_piece {
+struct pack_allocation {
 	uint32_t shape;
 	uint32_t worker;
 	uint32_t accelerators;
@@ -249,7 +249,8 @@
 bool config_load(struct store *s, struct config_snapshot *snapshot, GError **err);
 void config_snapshot_clear(struct config_snapshot *c);
 void config_snapshot_copy(struct config_snapshot *to, const struct config_snapshot *from);
-const struct doc_section *config_find(const struct config_snapshot *c, const char *section);
+const struct doc_section *config_find_section(
+	const struct config_snapshot *c, const char *section);
 bool config_put(struct store *s, const struct config_edit *edit, uint64_t *number,
 	struct doc_problems *problems, struct doc_section *current, GError **err);
 struct doc *config_parse(const struct config_snapshot *c);
@@ -269,7 +270,7 @@
 	int64_t lease;
 };
 bool cell_term_read(struct store *s, const char *cell, struct cell_term *out, GError **err);
-bool cell_term_take(struct store *s, const char *cell, const char *addr, const char *name,
+bool cell_term_acquire(struct store *s, const char *cell, const char *addr, const char *name,
 	int64_t ttl_s, struct cell_term *t, GError **err);
 bool cell_term_renew(
 	struct store *s, const char *cell, int64_t ttl_s, struct cell_term *t, GError **err);
--- a/packages/state/store-embedded.c
+++ b/packages/state/store-embedded.c
@@ -371,7 +371,7 @@
 }
 
 /* Expire all leases immediately. */
-void store_embedded_expire(struct store *s)
+void store_embedded_expire_leases(struct store *s)
 {
 	GHashTableIter it;
 	gpointer value;
--- a/packages/state/store-etcd.c
+++ b/packages/state/store-etcd.c
@@ -62,7 +62,7 @@
 /* Set a member to the base64 encoding of data. */
 static void json_set_base64(json_t *o, const char *name, const void *data, size_t len)
 {
-	g_autofree char *text = store_json_encode64(data, len);
+	g_autofree char *text = store_json_encode_base64(data, len);
 
 	json_object_set_new(o, name, json_string(text));
 }
--- a/packages/state/store-faulty.c
+++ b/packages/state/store-faulty.c
@@ -25,10 +25,10 @@
 		enum store_fault fault_ = select_fault(s, call);                               \
 		bool ok_;                                                                      \
                                                                                                \
-		if (fault_ == STORE_FAULT_BEFORE)                                              \
+		if (fault_ == STORE_FAULT_NOT_APPLIED)                                         \
 			return fail_before(err);                                               \
 		ok_ = (expr);                                                                  \
-		if (ok_ && fault_ == STORE_FAULT_AFTER)                                        \
+		if (ok_ && fault_ == STORE_FAULT_RESPONSE_LOST)                                \
 			return fail_after(err);                                                \
 		return ok_;                                                                    \
 	} while (0)
--- a/packages/state/store-json.c
+++ b/packages/state/store-json.c
@@ -5,13 +5,13 @@
 #include <string.h>
 
 /* Encode bytes as base64; free the result with g_free. */
-char *store_json_encode64(const void *data, size_t len)
+char *store_json_encode_base64(const void *data, size_t len)
 {
 	return g_base64_encode(len > 0 ? data : (const void *)"", len);
 }
 
 /* Decode a base64 string. NULL decodes to no bytes; any other type fails. */
-bool store_json_decode64(const json_t *text, struct bytes *out)
+bool store_json_decode_base64(const json_t *text, struct bytes *out)
 {
 	g_autofree guchar *raw = NULL;
 	gsize len = 0;
@@ -56,8 +56,8 @@
 json_t *store_json_encode_kv(const struct store_kv *kv)
 {
 	json_t *o = json_object();
-	g_autofree char *key = store_json_encode64(kv->key, strlen(kv->key));
-	g_autofree char *value = store_json_encode64(kv->value.data, kv->value.len);
+	g_autofree char *key = store_json_encode_base64(kv->key, strlen(kv->key));
+	g_autofree char *value = store_json_encode_base64(kv->value.data, kv->value.len);
 
 	json_object_set_new(o, "key", json_string(key));
 	json_object_set_new(o, "value", json_string(value));
@@ -74,11 +74,11 @@
 	struct bytes key = {0};
 
 	memset(kv, 0, sizeof(*kv));
-	if (!store_json_decode64(json_object_get(v, "key"), &key))
+	if (!store_json_decode_base64(json_object_get(v, "key"), &key))
 		return false;
 	kv->key = key.data;
 	kv->create_revision = store_json_get_int(json_object_get(v, "create_revision"));
 	kv->mod_revision = store_json_get_int(json_object_get(v, "mod_revision"));
 	kv->lease = store_json_get_int(json_object_get(v, "lease"));
-	return store_json_decode64(json_object_get(v, "value"), &kv->value);
+	return store_json_decode_base64(json_object_get(v, "value"), &kv->value);
 }
--- a/tests/property/prop-gang.cc
+++ b/tests/property/prop-gang.cc
@@ -259,7 +259,7 @@
 		return;
 	m.kind = MSG_SUBMIT;
 	m.submit.spec = *c->open[id];
-	m.submit.again = c->told_term.count(id) > 0;
+	m.submit.resubmitted = c->told_term.count(id) > 0;
 	m.submit.last_term = c->told_term[id];
 	m.submit.wait = true;
 	c->told_term[id] = c->term;
--- a/tests/property/prop-pack.cc
+++ b/tests/property/prop-pack.cc
@@ -14,7 +14,7 @@
 		rc::gen::pair(rc::gen::inRange(1, 25), rc::gen::inRange(0, 3)));
 	std::vector<pack_worker> workers;
 	std::vector<pack_shape> shapes;
-	GArray *pieces = g_array_new(FALSE, TRUE, sizeof(pack_piece));
+	GArray *pieces = g_array_new(FALSE, TRUE, sizeof(pack_allocation));
 	uint32_t failed = 0;
 
 	for (size_t i = 0; i < free_counts.size(); i++)
@@ -27,7 +27,7 @@
 	std::map<uint32_t, uint32_t> allocated, at, shape_rack;
 	std::vector<uint32_t> taken(workers.size());
 	for (guint i = 0; i < pieces->len; i++) {
-		pack_piece p = g_array_index(pieces, pack_piece, i);
+		pack_allocation p = g_array_index(pieces, pack_allocation, i);
 
 		taken[p.worker] += p.accelerators;
 		if (allocated.count(p.shape) != 0) {
--- a/tests/property/prop-sched.cc
+++ b/tests/property/prop-sched.cc
@@ -56,7 +56,7 @@
 	w.per_rack = *rc::gen::inRange(1, 5);
 	w.guarantees.resize((size_t)*rc::gen::inRange(1, 5));
 	std::vector<pack_worker> room;
-	GArray *pieces = g_array_new(FALSE, TRUE, sizeof(pack_piece));
+	GArray *pieces = g_array_new(FALSE, TRUE, sizeof(pack_allocation));
 	for (int i = 0; i < w.workers; i++)
 		room.push_back({(uint32_t)(i / w.per_rack), 8});
 	int tries = *rc::gen::inRange(0, 12);
--- a/tests/unit/test-base.c
+++ b/tests/unit/test-base.c
@@ -21,7 +21,7 @@
 static void errors_complete(void)
 {
 	for (int i = 0; i < ERR_COUNT; i++) {
-		const struct error_answer *a = error_answer((enum error_kind)i);
+		const struct error_info *a = error_info((enum error_kind)i);
 		enum error_kind back = ERR_COUNT;
 
 		CU_ASSERT_PTR_NOT_NULL_FATAL(a->name);
@@ -30,9 +30,9 @@
 		CU_ASSERT(error_kind_parse(a->name, &back));
 		CU_ASSERT_EQUAL(back, (enum error_kind)i);
 	}
-	CU_ASSERT_FALSE(error_answer(ERR_UNKNOWN_OUTCOME)->not_run);
-	CU_ASSERT_FALSE(error_answer(ERR_MEMBER_LOST)->not_run);
-	CU_ASSERT_FALSE(error_answer(ERR_STORE_UNSURE)->not_run);
+	CU_ASSERT_FALSE(error_info(ERR_UNKNOWN_OUTCOME)->not_run);
+	CU_ASSERT_FALSE(error_info(ERR_MEMBER_LOST)->not_run);
+	CU_ASSERT_FALSE(error_info(ERR_STORE_UNSURE)->not_run);
 }
 
 /* A bad setting is refused with its name, its value and its rule. */
