--- a/packages/transport/frame.c
+++ b/packages/transport/frame.c
@@ -4,25 +4,26 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define KEY_LEN	    32
-#define KEYS_MAX    2
-#define SECRET_MIN  16
-#define FRAME_MAGIC "DMP1"
+#define HMAC_LEN       32 /* bytes of an HMAC-SHA256 and of its key */
+#define KEYS_MAX       2
+#define SECRET_LEN_MIN 16 /* characters */
+#define GREETING_MAGIC "DMP1"
 
-struct frame_secret {
-	uint8_t bytes[KEY_LEN];
+struct frame_key {
+	uint8_t bytes[HMAC_LEN];
 	uint8_t id[FRAME_KEY_ID];
 };
 
-/* The first key is the one that diallers use; each is accepted. */
+/* Diallers use the first key; acceptors accept any of them. */
 struct keyring {
-	struct frame_secret keys[KEYS_MAX];
+	struct frame_key keys[KEYS_MAX];
 	size_t count;
 };
 
 struct frame_codec {
 	const struct keyring *keys;
 	bool dialler;
+	/* The peer's greeting has been processed. */
 	bool ready;
 	uint8_t greeting[FRAME_GREET_LEN];
 	GHmac *send_mac;
@@ -31,39 +32,39 @@
 	uint64_t recv_seq;
 };
 
-/* HMAC-SHA256 of up to three parts. */
-static void digest_parts(const uint8_t *key, const void *a, size_t alen, const void *b,
-	size_t blen, const void *c, size_t clen, uint8_t out[KEY_LEN])
+/* Computes the HMAC-SHA256 of up to three concatenated parts. */
+static void hmac_sha256_parts(const uint8_t *key, const void *a, size_t a_len, const void *b,
+	size_t b_len, const void *c, size_t c_len, uint8_t out[HMAC_LEN])
 {
-	GHmac *mac = g_hmac_new(G_CHECKSUM_SHA256, key, KEY_LEN);
-	gsize len = KEY_LEN;
-
-	g_hmac_update(mac, a, (gssize)alen);
-	if (blen > 0)
-		g_hmac_update(mac, b, (gssize)blen);
-	if (clen > 0)
-		g_hmac_update(mac, c, (gssize)clen);
+	GHmac *mac = g_hmac_new(G_CHECKSUM_SHA256, key, HMAC_LEN);
+	gsize len = HMAC_LEN;
+
+	g_hmac_update(mac, a, (gssize)a_len);
+	if (b_len > 0)
+		g_hmac_update(mac, b, (gssize)b_len);
+	if (c_len > 0)
+		g_hmac_update(mac, c, (gssize)c_len);
 	g_hmac_get_digest(mac, out, &len);
 	g_hmac_unref(mac);
 }
 
-/* Parse one secret, or two with a comma between them while keys are changed. */
+/* Parses one secret, or two separated by a comma, as needed during a key rotation. */
 struct keyring *keyring_parse(const char *text, GError **err)
 {
 	g_auto(GStrv) parts = g_strsplit(text, ",", -1);
 	struct keyring *k = xcalloc(1, sizeof(*k));
 
 	for (size_t i = 0; parts[i] != NULL; i++) {
-		struct frame_secret *s = &k->keys[i];
+		struct frame_key *s = &k->keys[i];
 		GChecksum *sum;
-		gsize len = KEY_LEN;
-		uint8_t id[KEY_LEN];
+		gsize len = HMAC_LEN;
+		uint8_t id[HMAC_LEN];
 
-		if (i == KEYS_MAX || strlen(parts[i]) < SECRET_MIN) {
+		if (i == KEYS_MAX || strlen(parts[i]) < SECRET_LEN_MIN) {
 			error_set(err, ERR_INVALID,
-				"setting peer-keys: one or two secrets of %d characters or "
-				"more, with a comma between them",
-				SECRET_MIN);
+				"setting peer-keys: expected one or two secrets of at least %d "
+				"characters, separated by a comma",
+				SECRET_LEN_MIN);
 			free(k);
 			return NULL;
 		}
@@ -71,33 +72,31 @@
 		g_checksum_update(sum, (const guchar *)parts[i], -1);
 		g_checksum_get_digest(sum, s->bytes, &len);
 		g_checksum_free(sum);
-		digest_parts(s->bytes, "id", 2, NULL, 0, NULL, 0, id);
+		hmac_sha256_parts(s->bytes, "id", 2, NULL, 0, NULL, 0, id);
 		memcpy(s->id, id, FRAME_KEY_ID);
 		k->count++;
 	}
 	return k;
 }
 
-/* Free a key ring. */
 void keyring_free(struct keyring *k)
 {
 	free(k);
 }
 
-/* A codec for one connection. */
+/* Creates the codec of one connection; keys must outlive it. */
 struct frame_codec *frame_codec_new(const struct keyring *keys, bool dialler)
 {
 	struct frame_codec *c = xcalloc(1, sizeof(*c));
 
 	c->keys = keys;
 	c->dialler = dialler;
-	memcpy(c->greeting, FRAME_MAGIC, 4);
+	memcpy(c->greeting, GREETING_MAGIC, 4);
 	memcpy(c->greeting + 4, keys->keys[0].id, FRAME_KEY_ID);
 	random_bytes(c->greeting + 4 + FRAME_KEY_ID, FRAME_NONCE_LEN);
 	return c;
 }
 
-/* Free a codec. */
 void frame_codec_free(struct frame_codec *c)
 {
 	if (c == NULL)
@@ -109,32 +108,32 @@
 	free(c);
 }
 
-/* The bytes that open the connection in our direction. */
+/* Returns the greeting, which must be the first bytes sent on the connection. */
 const uint8_t *frame_greeting(struct frame_codec *c, size_t *len)
 {
 	*len = FRAME_GREET_LEN;
 	return c->greeting;
 }
 
-/* Whether the other side's greeting has come. */
+/* Returns whether the peer's greeting has been accepted. */
 bool frame_ready(const struct frame_codec *c)
 {
 	return c->ready;
 }
 
-/* Make the key of one direction. */
-static GHmac *direction_mac(const struct frame_secret *s, const uint8_t *dial_nonce,
-	const uint8_t *accept_nonce, const char *direction)
+/* Derives the key of one direction and returns an HMAC context with it. */
+static GHmac *direction_hmac_new(const struct frame_key *s, const uint8_t *dialler_nonce,
+	const uint8_t *acceptor_nonce, const char *direction)
 {
-	uint8_t key[KEY_LEN];
+	uint8_t key[HMAC_LEN];
 
-	digest_parts(s->bytes, dial_nonce, FRAME_NONCE_LEN, accept_nonce, FRAME_NONCE_LEN,
-		direction, strlen(direction), key);
-	return g_hmac_new(G_CHECKSUM_SHA256, key, KEY_LEN);
+	hmac_sha256_parts(s->bytes, dialler_nonce, FRAME_NONCE_LEN, acceptor_nonce,
+		FRAME_NONCE_LEN, direction, strlen(direction), key);
+	return g_hmac_new(G_CHECKSUM_SHA256, key, HMAC_LEN);
 }
 
-/* Find the key that the dialler chose. */
-static const struct frame_secret *find_secret(const struct keyring *k, const uint8_t *id)
+/* Finds the key that the dialler selected. */
+static const struct frame_key *find_key(const struct keyring *k, const uint8_t *id)
 {
 	for (size_t i = 0; i < k->count; i++) {
 		if (memcmp(k->keys[i].id, id, FRAME_KEY_ID) == 0)
@@ -143,63 +142,63 @@
 	return NULL;
 }
 
-/* Take the other side's greeting. */
-static bool accept_greeting(struct frame_codec *c, const uint8_t *data, GError **err)
+/* Checks the peer's greeting and derives the keys of both directions. */
+static bool process_greeting(struct frame_codec *c, const uint8_t *data, GError **err)
 {
-	const uint8_t *mine = c->greeting + 4 + FRAME_KEY_ID;
-	const uint8_t *theirs = data + 4 + FRAME_KEY_ID;
+	const uint8_t *local_nonce = c->greeting + 4 + FRAME_KEY_ID;
+	const uint8_t *peer_nonce = data + 4 + FRAME_KEY_ID;
 	const uint8_t *id = c->dialler ? c->greeting + 4 : data + 4;
-	const struct frame_secret *s = find_secret(c->keys, id);
+	const struct frame_key *s = find_key(c->keys, id);
 
-	if (memcmp(data, FRAME_MAGIC, 4) != 0) {
-		error_set(err, ERR_PROTOCOL, "the peer does not speak this protocol");
+	if (memcmp(data, GREETING_MAGIC, 4) != 0) {
+		error_set(err, ERR_PROTOCOL, "the greeting is not of this protocol");
 		return false;
 	}
 	if (s == NULL) {
-		error_set(err, ERR_UNAUTHORISED, "the peer uses a key that is not ours");
+		error_set(err, ERR_UNAUTHORISED, "the greeting names an unknown key");
 		return false;
 	}
 	if (c->dialler) {
-		c->send_mac = direction_mac(s, mine, theirs, "d");
-		c->recv_mac = direction_mac(s, mine, theirs, "a");
+		c->send_mac = direction_hmac_new(s, local_nonce, peer_nonce, "d");
+		c->recv_mac = direction_hmac_new(s, local_nonce, peer_nonce, "a");
 	} else {
-		c->send_mac = direction_mac(s, theirs, mine, "a");
-		c->recv_mac = direction_mac(s, theirs, mine, "d");
+		c->send_mac = direction_hmac_new(s, peer_nonce, local_nonce, "a");
+		c->recv_mac = direction_hmac_new(s, peer_nonce, local_nonce, "d");
 	}
 	c->ready = true;
 	return true;
 }
 
-/* The code of a frame: counter, then body. */
-static void frame_mac(
+/* Computes the MAC of a frame: the sequence number, then the body. */
+static void compute_frame_mac(
 	GHmac *base, uint64_t seq, const void *body, size_t len, uint8_t out[FRAME_MAC_LEN])
 {
 	GHmac *mac = g_hmac_copy(base);
-	uint8_t full[KEY_LEN];
-	gsize full_len = KEY_LEN;
-	uint64_t wire = GUINT64_TO_BE(seq);
+	uint8_t full[HMAC_LEN];
+	gsize full_len = HMAC_LEN;
+	uint64_t seq_be = GUINT64_TO_BE(seq);
 
-	g_hmac_update(mac, (const guchar *)&wire, sizeof(wire));
+	g_hmac_update(mac, (const guchar *)&seq_be, sizeof(seq_be));
 	g_hmac_update(mac, body, (gssize)len);
 	g_hmac_get_digest(mac, full, &full_len);
 	g_hmac_unref(mac);
 	memcpy(out, full, FRAME_MAC_LEN);
 }
 
-/* Append a frame; the codec must be ready. */
+/* Appends a frame to out; the codec must be ready. */
 void frame_encode(struct frame_codec *c, GByteArray *out, const void *body, size_t len)
 {
-	uint32_t wire = htonl((uint32_t)len);
+	uint32_t len_be = htonl((uint32_t)len);
 	uint8_t mac[FRAME_MAC_LEN];
 
-	frame_mac(c->send_mac, c->send_seq++, body, len, mac);
-	g_byte_array_append(out, (const guint8 *)&wire, sizeof(wire));
+	compute_frame_mac(c->send_mac, c->send_seq++, body, len, mac);
+	g_byte_array_append(out, (const guint8 *)&len_be, sizeof(len_be));
 	g_byte_array_append(out, mac, sizeof(mac));
 	g_byte_array_append(out, body, (guint)len);
 }
 
-/* Compare without leaking where the first difference is. */
-static bool equal_mac(const uint8_t *a, const uint8_t *b)
+/* Compares two MACs in constant time, so that timing does not reveal a matching prefix. */
+static bool mac_equal(const uint8_t *a, const uint8_t *b)
 {
 	uint8_t diff = 0;
 
@@ -208,12 +207,12 @@
 	return diff == 0;
 }
 
-/* Look at the start of the input; out->used bytes are done with. */
+/* Decodes a greeting or frame at the start of the input; out->used bytes are consumed. */
 enum frame_result frame_decode(struct frame_codec *c, const uint8_t *data, size_t len,
 	struct frame_view *out, GError **err)
 {
 	uint8_t mac[FRAME_MAC_LEN];
-	uint32_t wire;
+	uint32_t len_be;
 	size_t body_len;
 
 	out->used = 0;
@@ -221,27 +220,27 @@
 		if (len < FRAME_GREET_LEN)
 			return FRAME_MORE;
 		out->used = FRAME_GREET_LEN;
-		return accept_greeting(c, data, err) ? FRAME_GREETED : FRAME_BAD;
+		return process_greeting(c, data, err) ? FRAME_GREETED : FRAME_BAD;
 	}
-	if (len < FRAME_HEAD_LEN)
+	if (len < FRAME_HEADER_LEN)
 		return FRAME_MORE;
-	memcpy(&wire, data, sizeof(wire));
-	body_len = ntohl(wire);
+	memcpy(&len_be, data, sizeof(len_be));
+	body_len = ntohl(len_be);
 	if (body_len > FRAME_BODY_MAX) {
-		error_set(
-			err, ERR_TOO_LARGE, "a frame of %zu bytes is over the limit", body_len);
+		error_set(err, ERR_TOO_LARGE, "a frame body of %zu bytes exceeds the limit",
+			body_len);
 		return FRAME_BAD;
 	}
-	if (len < FRAME_HEAD_LEN + body_len)
+	if (len < FRAME_HEADER_LEN + body_len)
 		return FRAME_MORE;
-	frame_mac(c->recv_mac, c->recv_seq, data + FRAME_HEAD_LEN, body_len, mac);
-	if (!equal_mac(mac, data + 4)) {
-		error_set(err, ERR_UNAUTHORISED, "a frame does not carry a valid code");
+	compute_frame_mac(c->recv_mac, c->recv_seq, data + FRAME_HEADER_LEN, body_len, mac);
+	if (!mac_equal(mac, data + 4)) {
+		error_set(err, ERR_UNAUTHORISED, "a frame has an invalid authentication code");
 		return FRAME_BAD;
 	}
 	c->recv_seq++;
-	out->body = data + FRAME_HEAD_LEN;
+	out->body = data + FRAME_HEADER_LEN;
 	out->len = body_len;
-	out->used = FRAME_HEAD_LEN + body_len;
+	out->used = FRAME_HEADER_LEN + body_len;
 	return FRAME_BODY;
 }
--- a/packages/transport/transport.h
+++ b/packages/transport/transport.h
@@ -3,22 +3,24 @@
 
 #include "base.h"
 
-#define FRAME_BODY_MAX	(8u * 1024 * 1024)
-#define FRAME_MAC_LEN	16
-#define FRAME_HEAD_LEN	(4 + FRAME_MAC_LEN)
-#define FRAME_NONCE_LEN 16
-#define FRAME_KEY_ID	8
-#define FRAME_GREET_LEN (4 + FRAME_KEY_ID + FRAME_NONCE_LEN)
+/* Sizes of frames and greetings in bytes. */
+#define FRAME_BODY_MAX	 (8u * 1024 * 1024)
+#define FRAME_MAC_LEN	 16
+#define FRAME_HEADER_LEN (4 + FRAME_MAC_LEN)
+#define FRAME_NONCE_LEN	 16
+#define FRAME_KEY_ID	 8
+#define FRAME_GREET_LEN	 (4 + FRAME_KEY_ID + FRAME_NONCE_LEN)
 
-/* net-addr.c */
+/* net-addr.c: IPv4 addresses and TCP sockets. */
 bool addr_parse(const char *text, char **host, int *port, GError **err);
 int addr_listen(const char *text, char **bound, GError **err);
 int addr_dial(const char *text, GError **err);
 
 /*
- * frame.c: length, message authentication code, body. The code covers a counter and the body
- * under a key made for this connection and direction from the shared key and both nonces, so
- * a frame can neither be forged, replayed, dropped nor reordered within a connection.
+ * frame.c: authenticated framing. A frame is a length, a message authentication code (MAC) and
+ * a body. The MAC covers a sequence number and the body. Its key is derived per connection and
+ * direction from the shared key and both nonces, so frames cannot be forged, replayed, dropped
+ * or reordered within a connection.
  */
 struct keyring;
 struct keyring *keyring_parse(const char *text, GError **err);
@@ -32,28 +34,37 @@
 
 /* What frame_decode found at the start of the input. */
 enum frame_result {
+	/* Incomplete: more input is needed. */
 	FRAME_MORE,
+	/* A valid greeting; the codec is ready. */
 	FRAME_GREETED,
+	/* A frame with a valid MAC. */
 	FRAME_BODY,
+	/* Malformed or not authentic; the connection must be closed. */
 	FRAME_BAD
 };
 struct frame_view {
+	/* The body of a frame, within the input. */
 	const uint8_t *body;
 	size_t len;
+	/* Bytes of input consumed. */
 	size_t used;
 };
 enum frame_result frame_decode(struct frame_codec *c, const uint8_t *data, size_t len,
 	struct frame_view *out, GError **err);
 
 /*
- * peer-net.c: framed connections between the system's own processes. Calls and callbacks are
- * on the loop's thread, except peer_post, which any thread may call.
+ * peer-net.c: framed connections between the processes of the system. Functions and callbacks
+ * run on the event loop's thread, except peer_post, which is thread-safe.
  */
+/* Handle of a connection. A stale handle is recognised and refers to nothing. */
 typedef uint64_t peer_id;
 #define PEER_NONE 0
 struct peer_events {
+	/* The peer has sent a valid greeting. */
 	void (*opened)(void *arg, peer_id peer, bool dialled);
 	void (*message)(void *arg, peer_id peer, const uint8_t *body, size_t len);
+	/* An opened or dialled connection is gone; why is NULL after peer_close. */
 	void (*closed)(void *arg, peer_id peer, const GError *why);
 	void *arg;
 };
@@ -67,10 +78,10 @@
 void peer_post(struct peer_net *n, peer_id peer, struct bytes body);
 void peer_close(struct peer_net *n, peer_id peer);
 
-/* http-server.c: requests are read whole, answered at once or later from any thread. */
+/* http-server.c: requests are read whole and answered at once or later, from any thread. */
 struct http_request;
 struct http_limits {
-	size_t body_max;
+	size_t body_max; /* bytes */
 	unsigned int connections_max;
 	unsigned int connections_per_ip;
 	unsigned int idle_timeout_s;
@@ -79,7 +90,7 @@
 typedef void http_handler(struct http_request *r, void *arg);
 struct http_server;
 struct http_server *http_server_new(const char *addr, const struct http_limits *limits,
-	http_handler *fn, void *arg, GError **err);
+	http_handler *handler, void *arg, GError **err);
 const char *http_server_addr(const struct http_server *s);
 unsigned int http_server_open(const struct http_server *s);
 void http_server_quiesce(struct http_server *s);
@@ -99,22 +110,23 @@
 	const char *extra_json);
 void http_reply_error(struct http_request *r, const GError *err);
 
-/* http-client.c */
+/* http-client.c: one HTTP request and its response. */
 struct http_call {
 	char *method;
 	char *url;
 	struct curl_slist *headers;
 	struct bytes body;
-	int64_t timeout;
-	/* Open a connection of its own: those that are open may be dead without a reset. */
+	int64_t timeout; /* nanoseconds; 0 for none */
+	/* Opens a new connection: pooled ones may be dead without a reset. */
 	bool fresh;
-	/* The answer: status is 0 and error set where there is none. */
+	/* The response; without one, status is 0 and error is set. */
 	int status;
 	struct bytes answer;
 	char *type;
 	GError *error;
+	/* The connection failed, so the server cannot have seen the request. */
 	bool never_sent;
-	/* Called on the client's loop; owns the call from then on. */
+	/* Called on the client's event loop; takes ownership of the call. */
 	void (*done)(struct http_call *call, void *arg);
 	void *arg;
 };
@@ -126,8 +138,9 @@
 struct http_client *http_client_new(struct loop *l);
 void http_client_free(struct http_client *c);
 void http_client_send(struct http_client *c, struct http_call *call);
+/* Receives a line of a stream, or NULL to poll. Returns false to end the stream. */
 typedef bool http_stream_fn(const char *line, size_t len, void *arg);
-bool http_stream(const char *url, const char *body, int64_t silence_max, http_stream_fn *fn,
+bool http_stream(const char *url, const char *body, int64_t idle_timeout, http_stream_fn *fn,
 	void *arg, GError **err);
 
 #endif
