--- a/packages/transport/peer-net.c
+++ b/packages/transport/peer-net.c
@@ -9,11 +9,11 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define PEERS_MAX      16384
-#define OUT_MAX	       (64u * 1024 * 1024)
-#define READ_CHUNK     65536
-#define GREETING_LIMIT (5 * NSEC_PER_SEC)
-#define SWEEP_PERIOD   NSEC_PER_SEC
+#define PEERS_MAX		   16384
+#define SEND_BUFFER_MAX		   (64u * 1024 * 1024) /* bytes per connection */
+#define READ_CHUNK_SIZE		   65536	       /* bytes */
+#define GREETING_TIMEOUT_NS	   (5 * NSEC_PER_SEC)
+#define GREETING_CHECK_INTERVAL_NS NSEC_PER_SEC
 
 COUNTER(frames_in, "damaskpath_peer_frames_in_total", "Frames received from peers.");
 COUNTER(frames_out, "damaskpath_peer_frames_out_total", "Frames sent to peers.");
@@ -22,7 +22,10 @@
 COUNTER(peers_refused, "damaskpath_peers_refused_total",
 	"Peers cut for a bad greeting, code or frame.");
 
-/* One connection; its handle is slot and generation, so a stale handle finds nothing. */
+/*
+ * One connection. Its handle combines slot and generation, so that a stale handle is not taken
+ * for the next connection in the slot.
+ */
 struct peer {
 	struct peer_net *net;
 	uint32_t slot;
@@ -30,14 +33,14 @@
 	int fd;
 	bool dialled;
 	bool connecting;
-	bool open;
+	bool open; /* the peer has sent a valid greeting */
 	bool want_write;
-	bool doomed;
-	int64_t since;
+	bool closing; /* peer_close has been called */
+	int64_t created_at;
 	struct frame_codec *codec;
-	GByteArray *in;
-	GByteArray *out;
-	size_t out_sent;
+	GByteArray *recv_buf;
+	GByteArray *send_buf;
+	size_t send_offset;
 };
 
 struct peer_net {
@@ -45,27 +48,28 @@
 	const struct keyring *keys;
 	struct peer_events events;
 	int listen_fd;
-	struct loop_timer *sweep;
+	struct loop_timer *greeting_timer;
 	struct peer **slots;
 	uint32_t *generations;
 	uint32_t count;
 };
 
-struct peer_out {
+/* Arguments of a function posted to the loop. */
+struct posted_op {
 	struct peer_net *net;
 	peer_id peer;
 	struct bytes body;
 };
 
-static void peer_ready(uint32_t events, void *arg);
+static void handle_peer_events(uint32_t events, void *arg);
 
-/* The handle of a connection. */
-static peer_id id_of(const struct peer *p)
+/* Returns the handle of a connection. */
+static peer_id handle_of(const struct peer *p)
 {
 	return (uint64_t)p->generation << 32 | (p->slot + 1);
 }
 
-/* Find a connection by handle. */
+/* Finds a connection by handle; NULL if it is gone. */
 static struct peer *find_peer(struct peer_net *n, peer_id id)
 {
 	uint32_t slot = (uint32_t)id - 1;
@@ -75,8 +79,8 @@
 	return n->slots[slot]->generation == id >> 32 ? n->slots[slot] : NULL;
 }
 
-/* Find a free slot, or make one. */
-static bool take_slot(struct peer_net *n, uint32_t *slot)
+/* Finds a free slot or adds one; false when all slots are in use. */
+static bool allocate_slot(struct peer_net *n, uint32_t *slot)
 {
 	for (uint32_t i = 0; i < n->count; i++) {
 		if (n->slots[i] == NULL) {
@@ -94,7 +98,7 @@
 	return true;
 }
 
-/* Adopt a socket and send our greeting. */
+/* Takes ownership of a socket and queues the greeting. */
 static struct peer *add_peer(struct peer_net *n, int fd, bool dialled)
 {
 	struct peer *p;
@@ -102,7 +106,7 @@
 	size_t len;
 	uint32_t slot;
 
-	if (!take_slot(n, &slot))
+	if (!allocate_slot(n, &slot))
 		return NULL;
 	p = xcalloc(1, sizeof(*p));
 	p->net = n;
@@ -111,44 +115,44 @@
 	p->fd = fd;
 	p->dialled = dialled;
 	p->connecting = dialled;
-	p->since = loop_now(n->loop);
+	p->created_at = loop_now(n->loop);
 	p->codec = frame_codec_new(n->keys, dialled);
-	p->in = g_byte_array_new();
-	p->out = g_byte_array_new();
+	p->recv_buf = g_byte_array_new();
+	p->send_buf = g_byte_array_new();
 	greeting = frame_greeting(p->codec, &len);
-	g_byte_array_append(p->out, greeting, (guint)len);
+	g_byte_array_append(p->send_buf, greeting, (guint)len);
 	p->want_write = true;
 	n->slots[slot] = p;
-	loop_add_fd(n->loop, fd, EPOLLIN | EPOLLOUT, peer_ready, p);
+	loop_add_fd(n->loop, fd, EPOLLIN | EPOLLOUT, handle_peer_events, p);
 	return p;
 }
 
-/* Close a connection and tell the owner, once. */
+/* Closes and frees a connection, and notifies the owner if it knows the connection. */
 static void drop_peer(struct peer *p, const GError *why)
 {
 	struct peer_net *n = p->net;
-	peer_id id = id_of(p);
-	bool told = p->open || p->dialled;
+	peer_id id = handle_of(p);
+	bool notify_owner = p->open || p->dialled;
 
 	if (why != NULL &&
 		(error_kind_of(why) == ERR_UNAUTHORISED || error_kind_of(why) == ERR_PROTOCOL ||
 			error_kind_of(why) == ERR_TOO_LARGE)) {
 		counter_add(&peers_refused, 1);
-		log_warning("peer", "A connection was cut: %s.", why->message);
+		log_warning("peer", "Closed a peer connection: %s.", why->message);
 	}
 	loop_del_fd(n->loop, p->fd);
 	close(p->fd);
 	n->slots[p->slot] = NULL;
 	frame_codec_free(p->codec);
-	g_byte_array_unref(p->in);
-	g_byte_array_unref(p->out);
+	g_byte_array_unref(p->recv_buf);
+	g_byte_array_unref(p->send_buf);
 	free(p);
-	if (told)
+	if (notify_owner)
 		n->events.closed(n->events.arg, id, why);
 }
 
-/* Close with a reason made here. */
-static void drop_because(struct peer *p, enum error_kind kind, const char *text)
+/* Drops a connection with an error of the given kind. */
+static void drop_peer_with_error(struct peer *p, enum error_kind kind, const char *text)
 {
 	g_autoptr(GError) why = NULL;
 
@@ -156,7 +160,7 @@
 	drop_peer(p, why);
 }
 
-/* Ask for write events only while there is something to write. */
+/* Subscribes to write events only while output is pending. */
 static void set_want_write(struct peer *p, bool want)
 {
 	if (p->want_write == want)
@@ -165,47 +169,48 @@
 	loop_set_fd(p->net->loop, p->fd, EPOLLIN | (want ? EPOLLOUT : 0));
 }
 
-/* Write what the socket takes; false when the connection is gone. */
+/* Writes as much pending output as the socket accepts; false if the connection was dropped. */
 static bool flush_peer(struct peer *p)
 {
-	while (p->out_sent < p->out->len) {
-		ssize_t n = send(p->fd, p->out->data + p->out_sent, p->out->len - p->out_sent,
-			MSG_NOSIGNAL);
+	while (p->send_offset < p->send_buf->len) {
+		ssize_t n = send(p->fd, p->send_buf->data + p->send_offset,
+			p->send_buf->len - p->send_offset, MSG_NOSIGNAL);
 
 		if (n < 0 && (errno == EAGAIN || errno == EINTR || errno == ENOTCONN)) {
 			set_want_write(p, true);
 			return true;
 		}
 		if (n < 0) {
-			drop_because(p, ERR_MEMBER_LOST, "the connection broke while writing");
+			drop_peer_with_error(
+				p, ERR_MEMBER_LOST, "the connection failed while writing");
 			return false;
 		}
-		p->out_sent += (size_t)n;
+		p->send_offset += (size_t)n;
 		counter_add(&bytes_out, (uint64_t)n);
 	}
-	g_byte_array_set_size(p->out, 0);
-	p->out_sent = 0;
+	g_byte_array_set_size(p->send_buf, 0);
+	p->send_offset = 0;
 	set_want_write(p, false);
 	return true;
 }
 
-/* Handle what the input holds; false when the connection is gone. */
-static bool consume_input(struct peer *p)
+/* Decodes and delivers the buffered input; false if the connection was dropped. */
+static bool process_input(struct peer *p)
 {
 	struct peer_net *n = p->net;
-	peer_id id = id_of(p);
-	size_t at = 0;
+	peer_id id = handle_of(p);
+	size_t consumed = 0;
 
 	for (;;) {
 		g_autoptr(GError) err = NULL;
 		struct frame_view view;
-		enum frame_result res =
-			frame_decode(p->codec, p->in->data + at, p->in->len - at, &view, &err);
+		enum frame_result res = frame_decode(p->codec, p->recv_buf->data + consumed,
+			p->recv_buf->len - consumed, &view, &err);
 
-		at += view.used;
+		consumed += view.used;
 		switch (res) {
 		case FRAME_MORE:
-			g_byte_array_remove_range(p->in, 0, (guint)at);
+			g_byte_array_remove_range(p->recv_buf, 0, (guint)consumed);
 			return true;
 		case FRAME_BAD:
 			drop_peer(p, err);
@@ -221,17 +226,17 @@
 		}
 		if (find_peer(n, id) == NULL)
 			return false;
-		if (p->doomed) {
+		if (p->closing) {
 			drop_peer(p, NULL);
 			return false;
 		}
 	}
 }
 
-/* Read what has come; false when the connection is gone. */
-static bool read_peer(struct peer *p)
+/* Reads and processes the available input; false if the connection was dropped. */
+static bool receive_peer(struct peer *p)
 {
-	uint8_t chunk[READ_CHUNK];
+	uint8_t chunk[READ_CHUNK_SIZE];
 
 	for (;;) {
 		ssize_t n = recv(p->fd, chunk, sizeof(chunk), 0);
@@ -239,22 +244,22 @@
 		if (n < 0 && (errno == EAGAIN || errno == EINTR))
 			return true;
 		if (n <= 0) {
-			drop_because(p, ERR_MEMBER_LOST,
+			drop_peer_with_error(p, ERR_MEMBER_LOST,
 				n == 0 ? "the peer closed the connection"
-				       : "the connection broke");
+				       : "the connection failed");
 			return false;
 		}
 		counter_add(&bytes_in, (uint64_t)n);
-		g_byte_array_append(p->in, chunk, (guint)n);
-		if (!consume_input(p))
+		g_byte_array_append(p->recv_buf, chunk, (guint)n);
+		if (!process_input(p))
 			return false;
 		if ((size_t)n < sizeof(chunk))
 			return true;
 	}
 }
 
-/* An event on a connection. */
-static void peer_ready(uint32_t events, void *arg)
+/* Handles epoll events of a connection. */
+static void handle_peer_events(uint32_t events, void *arg)
 {
 	struct peer *p = arg;
 
@@ -264,11 +269,11 @@
 			return;
 	}
 	if (events & (EPOLLIN | EPOLLHUP | EPOLLERR))
-		read_peer(p);
+		receive_peer(p);
 }
 
-/* New connections. */
-static void listen_ready(uint32_t events, void *arg)
+/* Accepts all pending connections. */
+static void accept_peers(uint32_t events, void *arg)
 {
 	struct peer_net *n = arg;
 	int one = 1;
@@ -285,8 +290,8 @@
 	}
 }
 
-/* Cut those that do not greet in time. */
-static void sweep_peers(void *arg)
+/* Drops connections whose peer has not sent a greeting in time. */
+static void drop_ungreeted_peers(void *arg)
 {
 	struct peer_net *n = arg;
 	int64_t now = loop_now(n->loop);
@@ -294,12 +299,12 @@
 	for (uint32_t i = 0; i < n->count; i++) {
 		struct peer *p = n->slots[i];
 
-		if (p != NULL && !p->open && now - p->since > GREETING_LIMIT)
-			drop_because(p, ERR_PROTOCOL, "no greeting came in time");
+		if (p != NULL && !p->open && now - p->created_at > GREETING_TIMEOUT_NS)
+			drop_peer_with_error(p, ERR_PROTOCOL, "no greeting within the timeout");
 	}
 }
 
-/* A set of peers on a loop. */
+/* Creates a set of connections on a loop; keys must outlive it. */
 struct peer_net *peer_net_new(
 	struct loop *l, const struct keyring *keys, const struct peer_events *events)
 {
@@ -309,11 +314,12 @@
 	n->keys = keys;
 	n->events = *events;
 	n->listen_fd = -1;
-	n->sweep = loop_timer_add(l, SWEEP_PERIOD, SWEEP_PERIOD, sweep_peers, n);
+	n->greeting_timer = loop_timer_add(l, GREETING_CHECK_INTERVAL_NS,
+		GREETING_CHECK_INTERVAL_NS, drop_ungreeted_peers, n);
 	return n;
 }
 
-/* Close all connections without callbacks. */
+/* Closes all connections without callbacks. */
 void peer_net_free(struct peer_net *n)
 {
 	n->events.closed = NULL;
@@ -326,7 +332,7 @@
 		p->dialled = false;
 		drop_peer(p, NULL);
 	}
-	loop_timer_del(n->loop, n->sweep);
+	loop_timer_del(n->loop, n->greeting_timer);
 	if (n->listen_fd >= 0) {
 		loop_del_fd(n->loop, n->listen_fd);
 		close(n->listen_fd);
@@ -336,7 +342,7 @@
 	free(n);
 }
 
-/* Accept peers on an address; returns the bound address. */
+/* Accepts peers on an address; returns the bound address, or NULL on error. */
 char *peer_listen(struct peer_net *n, const char *addr, GError **err)
 {
 	char *bound = NULL;
@@ -344,11 +350,11 @@
 	n->listen_fd = addr_listen(addr, &bound, err);
 	if (n->listen_fd < 0)
 		return NULL;
-	loop_add_fd(n->loop, n->listen_fd, EPOLLIN, listen_ready, n);
+	loop_add_fd(n->loop, n->listen_fd, EPOLLIN, accept_peers, n);
 	return bound;
 }
 
-/* Start a connection; opened or closed follows. */
+/* Starts a connection; the opened or closed callback reports the outcome. */
 peer_id peer_dial(struct peer_net *n, const char *addr, GError **err)
 {
 	int fd = addr_dial(addr, err);
@@ -362,52 +368,55 @@
 		error_set(err, ERR_OVERLOAD, "too many connections to peers");
 		return PEER_NONE;
 	}
-	return id_of(p);
+	return handle_of(p);
 }
 
-/* Send a message; false when the connection is gone or too far behind. */
+/*
+ * Queues a message. Returns false if the connection is not open, the message is too large or
+ * too much output is pending already; in the last case the connection is closed.
+ */
 bool peer_send(struct peer_net *n, peer_id peer, const void *body, size_t len)
 {
 	struct peer *p = find_peer(n, peer);
 
-	if (p == NULL || !p->open || p->doomed || len > FRAME_BODY_MAX)
+	if (p == NULL || !p->open || p->closing || len > FRAME_BODY_MAX)
 		return false;
-	if (p->out->len - p->out_sent > OUT_MAX) {
-		log_warning("peer", "A peer reads too slowly and is cut.");
+	if (p->send_buf->len - p->send_offset > SEND_BUFFER_MAX) {
+		log_warning("peer", "Closing the connection to a peer that reads too slowly.");
 		peer_close(n, peer);
 		return false;
 	}
-	frame_encode(p->codec, p->out, body, len);
+	frame_encode(p->codec, p->send_buf, body, len);
 	counter_add(&frames_out, 1);
 	set_want_write(p, true);
 	return true;
 }
 
-/* The posted half of peer_post. */
-static void send_posted(void *arg)
+/* Runs a posted send on the loop. */
+static void run_posted_send(void *arg)
 {
-	struct peer_out *o = arg;
+	struct posted_op *o = arg;
 
 	peer_send(o->net, o->peer, o->body.data, o->body.len);
 	bytes_clear(&o->body);
 	free(o);
 }
 
-/* Send from any thread; owns the body. */
+/* Sends a message from any thread; takes ownership of the body. */
 void peer_post(struct peer_net *n, peer_id peer, struct bytes body)
 {
-	struct peer_out *o = xmalloc(sizeof(*o));
+	struct posted_op *o = xmalloc(sizeof(*o));
 
 	o->net = n;
 	o->peer = peer;
 	o->body = body;
-	loop_post(n->loop, send_posted, o);
+	loop_post(n->loop, run_posted_send, o);
 }
 
-/* The posted half of peer_close. */
-static void close_posted(void *arg)
+/* Runs a posted close on the loop. */
+static void run_posted_close(void *arg)
 {
-	struct peer_out *o = arg;
+	struct posted_op *o = arg;
 	struct peer *p = find_peer(o->net, o->peer);
 
 	if (p != NULL)
@@ -415,17 +424,20 @@
 	free(o);
 }
 
-/* Close a connection soon; closed is called once it is. */
+/*
+ * Closes a connection asynchronously, so that it may be called from a callback of the same
+ * connection. The closed callback follows.
+ */
 void peer_close(struct peer_net *n, peer_id peer)
 {
 	struct peer *p = find_peer(n, peer);
-	struct peer_out *o;
+	struct posted_op *o;
 
-	if (p == NULL || p->doomed)
+	if (p == NULL || p->closing)
 		return;
-	p->doomed = true;
+	p->closing = true;
 	o = xcalloc(1, sizeof(*o));
 	o->net = n;
 	o->peer = peer;
-	loop_post(n->loop, close_posted, o);
+	loop_post(n->loop, run_posted_close, o);
 }
