--- a/packages/transport/http-client.c
+++ b/packages/transport/http-client.c
@@ -5,20 +5,20 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define ANSWER_MAX	(8u * 1024 * 1024)
-#define CONNECT_TIMEOUT 3000L
-#define CACHE_MAX	256L
-#define IDLE_POLL_MS	1000
+#define RESPONSE_MAX	       (8u * 1024 * 1024) /* bytes of a body or a streamed line */
+#define CONNECT_TIMEOUT_MS     3000L
+#define CACHED_CONNECTIONS_MAX 256L
+#define POLL_TIMEOUT_MS	       1000
 
 struct transfer {
 	struct http_client *client;
 	struct http_call *call;
 	CURL *easy;
-	GByteArray *answer;
+	GByteArray *response;
 	STAILQ_ENTRY(transfer) entry;
 };
 
-/* One thread drives all transfers; calls are handed to it over a locked queue. */
+/* One thread runs all transfers; other threads pass calls to it through a locked queue. */
 struct http_client {
 	struct loop *loop;
 	CURLM *multi;
@@ -28,13 +28,13 @@
 	bool stopping;
 };
 
-/* Start libcurl before any thread is. */
+/* Initialises libcurl before any thread starts, as curl_global_init may not be thread-safe. */
 __attribute__((constructor)) static void init_curl(void)
 {
 	curl_global_init(CURL_GLOBAL_DEFAULT);
 }
 
-/* A call without headers or body. */
+/* Creates a call without headers or body. */
 struct http_call *http_call_new(const char *method, const char *url)
 {
 	struct http_call *c = xcalloc(1, sizeof(*c));
@@ -44,7 +44,6 @@
 	return c;
 }
 
-/* Add a request header. */
 void http_call_header(struct http_call *c, const char *name, const char *value)
 {
 	AUTOFREE char *line = NULL;
@@ -53,7 +52,7 @@
 	c->headers = curl_slist_append(c->headers, line);
 }
 
-/* Free a call and its answer. */
+/* Frees a call and its response. */
 void http_call_free(struct http_call *c)
 {
 	if (c == NULL)
@@ -68,37 +67,37 @@
 	free(c);
 }
 
-/* Collect the answer's body. */
-static size_t on_data(char *data, size_t size, size_t count, void *arg)
+/* Collects the response body; aborts the transfer if it is too large. */
+static size_t on_response_data(char *data, size_t size, size_t count, void *arg)
 {
 	struct transfer *t = arg;
 
-	if (t->answer->len + size * count > ANSWER_MAX)
+	if (t->response->len + size * count > RESPONSE_MAX)
 		return 0;
-	g_byte_array_append(t->answer, (const guint8 *)data, (guint)(size * count));
+	g_byte_array_append(t->response, (const guint8 *)data, (guint)(size * count));
 	return size * count;
 }
 
-/* Prepare a transfer. */
+/* Sets up the transfer of a call; client is NULL for a synchronous call. */
 static struct transfer *transfer_new(struct http_client *client, struct http_call *c)
 {
 	struct transfer *t = xcalloc(1, sizeof(*t));
 
 	t->client = client;
 	t->call = c;
-	t->answer = g_byte_array_new();
+	t->response = g_byte_array_new();
 	t->easy = curl_easy_init();
 	c->headers = curl_slist_append(c->headers, "Expect:");
 	curl_easy_setopt(t->easy, CURLOPT_URL, c->url);
 	curl_easy_setopt(t->easy, CURLOPT_CUSTOMREQUEST, c->method);
 	curl_easy_setopt(t->easy, CURLOPT_HTTPHEADER, c->headers);
-	curl_easy_setopt(t->easy, CURLOPT_WRITEFUNCTION, on_data);
+	curl_easy_setopt(t->easy, CURLOPT_WRITEFUNCTION, on_response_data);
 	curl_easy_setopt(t->easy, CURLOPT_WRITEDATA, t);
 	curl_easy_setopt(t->easy, CURLOPT_PRIVATE, t);
 	curl_easy_setopt(t->easy, CURLOPT_NOSIGNAL, 1L);
 	curl_easy_setopt(t->easy, CURLOPT_NOPROXY, "*");
 	curl_easy_setopt(t->easy, CURLOPT_TCP_NODELAY, 1L);
-	curl_easy_setopt(t->easy, CURLOPT_CONNECTTIMEOUT_MS, CONNECT_TIMEOUT);
+	curl_easy_setopt(t->easy, CURLOPT_CONNECTTIMEOUT_MS, CONNECT_TIMEOUT_MS);
 	if (c->fresh)
 		curl_easy_setopt(t->easy, CURLOPT_FRESH_CONNECT, 1L);
 	if (c->timeout > 0)
@@ -111,31 +110,31 @@
 	return t;
 }
 
-/* Take the result into the call and free the transfer. */
+/* Stores the result in the call and frees the transfer. */
 static void transfer_finish(struct transfer *t, CURLcode code)
 {
 	struct http_call *c = t->call;
 	const char *type = NULL;
 	long status = 0;
-	long sent = 0;
+	long request_size = 0;
 
 	curl_easy_getinfo(t->easy, CURLINFO_RESPONSE_CODE, &status);
 	curl_easy_getinfo(t->easy, CURLINFO_CONTENT_TYPE, &type);
-	curl_easy_getinfo(t->easy, CURLINFO_REQUEST_SIZE, &sent);
+	curl_easy_getinfo(t->easy, CURLINFO_REQUEST_SIZE, &request_size);
 	if (code == CURLE_OK) {
 		c->status = (int)status;
 		c->type = xstrdup(type);
-		c->answer = bytes_copy(t->answer->data, t->answer->len);
+		c->answer = bytes_copy(t->response->data, t->response->len);
 	} else {
 		error_set(&c->error, ERR_UPSTREAM_FAILED, "%s", curl_easy_strerror(code));
-		c->never_sent = code == CURLE_COULDNT_CONNECT && sent == 0;
+		c->never_sent = code == CURLE_COULDNT_CONNECT && request_size == 0;
 	}
 	curl_easy_cleanup(t->easy);
-	g_byte_array_unref(t->answer);
+	g_byte_array_unref(t->response);
 	free(t);
 }
 
-/* Run a call on this thread. */
+/* Performs a call synchronously on this thread. */
 void http_call_run(struct http_call *c)
 {
 	struct transfer *t = transfer_new(NULL, c);
@@ -143,15 +142,15 @@
 	transfer_finish(t, curl_easy_perform(t->easy));
 }
 
-/* The posted end of a call. */
-static void call_done(void *arg)
+/* Invokes a call's done callback on the client's loop. */
+static void run_done_callback(void *arg)
 {
 	struct http_call *c = arg;
 
 	c->done(c, c->arg);
 }
 
-/* Start the calls that have been queued. */
+/* Starts all queued transfers; false once the client is stopping. */
 static bool start_queued(struct http_client *c)
 {
 	struct transfer *t;
@@ -167,13 +166,13 @@
 	return !stopping;
 }
 
-/* Hand over the calls that have ended. */
-static void collect_done(struct http_client *c)
+/* Finishes completed transfers and posts their calls to the client's loop. */
+static void finish_completed(struct http_client *c)
 {
 	CURLMsg *m;
-	int left;
+	int messages_left;
 
-	while ((m = curl_multi_info_read(c->multi, &left)) != NULL) {
+	while ((m = curl_multi_info_read(c->multi, &messages_left)) != NULL) {
 		struct transfer *t;
 		struct http_call *call;
 		CURLcode code = m->data.result;
@@ -184,11 +183,10 @@
 		curl_multi_remove_handle(c->multi, t->easy);
 		call = t->call;
 		transfer_finish(t, code);
-		loop_post(c->loop, call_done, call);
+		loop_post(c->loop, run_done_callback, call);
 	}
 }
 
-/* The client's thread. */
 static void *client_thread(void *arg)
 {
 	struct http_client *c = arg;
@@ -196,20 +194,20 @@
 
 	while (start_queued(c)) {
 		curl_multi_perform(c->multi, &running);
-		collect_done(c);
-		curl_multi_poll(c->multi, NULL, 0, IDLE_POLL_MS, NULL);
+		finish_completed(c);
+		curl_multi_poll(c->multi, NULL, 0, POLL_TIMEOUT_MS, NULL);
 	}
 	return NULL;
 }
 
-/* A client whose results go to a loop. */
+/* Creates a client that invokes done callbacks on the given loop. */
 struct http_client *http_client_new(struct loop *l)
 {
 	struct http_client *c = xcalloc(1, sizeof(*c));
 
 	c->loop = l;
 	c->multi = curl_multi_init();
-	curl_multi_setopt(c->multi, CURLMOPT_MAXCONNECTS, CACHE_MAX);
+	curl_multi_setopt(c->multi, CURLMOPT_MAXCONNECTS, CACHED_CONNECTIONS_MAX);
 	pthread_mutex_init(&c->lock, NULL);
 	STAILQ_INIT(&c->queue);
 	if (pthread_create(&c->thread, NULL, client_thread, c) != 0)
@@ -217,7 +215,7 @@
 	return c;
 }
 
-/* Stop; calls still open are dropped without an answer. */
+/* Stops the client; pending calls are dropped and their done callback is not invoked. */
 void http_client_free(struct http_client *c)
 {
 	pthread_mutex_lock(&c->lock);
@@ -230,7 +228,7 @@
 	free(c);
 }
 
-/* Start a call from any thread; its done is called on the loop. */
+/* Starts a call from any thread; its done callback is invoked on the loop. */
 void http_client_send(struct http_client *c, struct http_call *call)
 {
 	struct transfer *t = transfer_new(c, call);
@@ -241,16 +239,16 @@
 	curl_multi_wakeup(c->multi);
 }
 
-/* The state of a streamed answer. */
+/* State of a streamed response. */
 struct stream {
 	GString *line;
 	http_stream_fn *fn;
 	void *arg;
-	bool ended;
+	bool ended; /* fn has returned false */
 };
 
-/* Cut a streamed answer into lines. */
-static size_t on_stream(char *data, size_t size, size_t count, void *arg)
+/* Splits a streamed response into lines and passes them to fn. */
+static size_t on_stream_data(char *data, size_t size, size_t count, void *arg)
 {
 	struct stream *s = arg;
 	size_t len = size * count;
@@ -266,10 +264,10 @@
 		if (s->ended)
 			return 0;
 	}
-	return s->line->len > ANSWER_MAX ? 0 : len;
+	return s->line->len > RESPONSE_MAX ? 0 : len;
 }
 
-/* Ask the owner now and then whether to go on. */
+/* Polls fn whether to continue; libcurl calls this about once a second. */
 static int on_progress(void *arg, curl_off_t a, curl_off_t b, curl_off_t c, curl_off_t d)
 {
 	struct stream *s = arg;
@@ -282,10 +280,12 @@
 }
 
 /*
- * POST and read lines until fn returns false, the server ends, or nothing came for
- * silence_max. fn is also called with NULL about once a second. True when fn ended it.
+ * POSTs body and passes each line of the response to fn, until fn returns false, the server
+ * ends the response, or nothing arrives for idle_timeout (nanoseconds, rounded down to
+ * seconds). fn is also called with NULL about once a second. Returns true if fn ended the
+ * stream.
  */
-bool http_stream(const char *url, const char *body, int64_t silence_max, http_stream_fn *fn,
+bool http_stream(const char *url, const char *body, int64_t idle_timeout, http_stream_fn *fn,
 	void *arg, GError **err)
 {
 	struct stream s = {.line = g_string_new(NULL), .fn = fn, .arg = arg};
@@ -294,22 +294,22 @@
 
 	curl_easy_setopt(easy, CURLOPT_URL, url);
 	curl_easy_setopt(easy, CURLOPT_POSTFIELDS, body);
-	curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, on_stream);
+	curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, on_stream_data);
 	curl_easy_setopt(easy, CURLOPT_WRITEDATA, &s);
 	curl_easy_setopt(easy, CURLOPT_XFERINFOFUNCTION, on_progress);
 	curl_easy_setopt(easy, CURLOPT_XFERINFODATA, &s);
 	curl_easy_setopt(easy, CURLOPT_NOPROGRESS, 0L);
 	curl_easy_setopt(easy, CURLOPT_NOSIGNAL, 1L);
 	curl_easy_setopt(easy, CURLOPT_NOPROXY, "*");
-	curl_easy_setopt(easy, CURLOPT_CONNECTTIMEOUT_MS, CONNECT_TIMEOUT);
+	curl_easy_setopt(easy, CURLOPT_CONNECTTIMEOUT_MS, CONNECT_TIMEOUT_MS);
 	curl_easy_setopt(easy, CURLOPT_LOW_SPEED_LIMIT, 1L);
-	curl_easy_setopt(easy, CURLOPT_LOW_SPEED_TIME, (long)(silence_max / NSEC_PER_SEC));
+	curl_easy_setopt(easy, CURLOPT_LOW_SPEED_TIME, (long)(idle_timeout / NSEC_PER_SEC));
 	code = curl_easy_perform(easy);
 	curl_easy_cleanup(easy);
 	g_string_free(s.line, TRUE);
 	if (s.ended || code == CURLE_ABORTED_BY_CALLBACK)
 		return true;
 	error_set(err, ERR_STORE_DOWN, "%s",
-		code == CURLE_OK ? "the stream ended" : curl_easy_strerror(code));
+		code == CURLE_OK ? "the server ended the stream" : curl_easy_strerror(code));
 	return false;
 }
