--- a/packages/transport/http-server.c
+++ b/packages/transport/http-server.c
@@ -6,7 +6,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define HEADER_MEMORY_MAX (32 * 1024)
+#define CONNECTION_MEMORY_MAX (32 * 1024) /* bytes per connection; bounds the headers */
 
 COUNTER(http_requests, "damaskpath_http_requests_total", "HTTP requests received.");
 COUNTER(http_too_large, "damaskpath_http_too_large_total",
@@ -15,23 +15,23 @@
 struct http_server {
 	struct MHD_Daemon *daemon;
 	struct http_limits limits;
-	http_handler *fn;
+	http_handler *handler;
 	void *arg;
 	char *addr;
-	unsigned int open;
+	unsigned int open_requests; /* atomic */
 };
 
-/* Where a request is between its first line and its answer. */
+/* Progress of a request. */
 enum http_phase {
 	HTTP_READING,
-	HTTP_HANDED,
-	HTTP_SUSPENDED,
+	HTTP_DISPATCHED, /* passed to the handler */
+	HTTP_SUSPENDED,	 /* the handler has returned without an answer */
 	HTTP_ANSWERED
 };
 
 /*
- * One request. The handler may answer before or after the connection is suspended, on any
- * thread; the lock orders the two.
+ * One request. It may be answered on any thread, before or after its connection is suspended;
+ * the lock orders the answer and the suspension.
  */
 struct http_request {
 	struct http_server *server;
@@ -48,7 +48,6 @@
 	GPtrArray *headers;
 };
 
-/* Begin to read a request. */
 static struct http_request *request_new(struct http_server *s, struct MHD_Connection *conn,
 	const char *method, const char *path)
 {
@@ -61,18 +60,18 @@
 	r->input = g_byte_array_new();
 	r->headers = g_ptr_array_new_with_free_func(g_free);
 	pthread_mutex_init(&r->lock, NULL);
-	__atomic_fetch_add(&s->open, 1, __ATOMIC_RELAXED);
+	__atomic_fetch_add(&s->open_requests, 1, __ATOMIC_RELAXED);
 	counter_add(&http_requests, 1);
 	return r;
 }
 
-/* Free a request that has been answered or cut. */
+/* Frees a request that has been answered or whose connection is closed. */
 static void request_free(struct http_request *r)
 {
-	/* The thread that answered may still hold the lock. */
+	/* Waits for the answering thread, which may still hold the lock. */
 	pthread_mutex_lock(&r->lock);
 	pthread_mutex_unlock(&r->lock);
-	__atomic_fetch_sub(&r->server->open, 1, __ATOMIC_RELAXED);
+	__atomic_fetch_sub(&r->server->open_requests, 1, __ATOMIC_RELAXED);
 	free(r->method);
 	free(r->path);
 	if (r->input != NULL)
@@ -85,7 +84,7 @@
 	free(r);
 }
 
-/* How far a request is; another thread may just be answering it. */
+/* Returns the phase under the lock, as another thread may be answering the request. */
 static enum http_phase request_phase(struct http_request *r)
 {
 	enum http_phase phase;
@@ -96,8 +95,8 @@
 	return phase;
 }
 
-/* Queue the answer that the handler gave. */
-static enum MHD_Result queue_answer(struct http_request *r)
+/* Queues the handler's response for sending. */
+static enum MHD_Result queue_response(struct http_request *r)
 {
 	enum MHD_Result res;
 
@@ -107,22 +106,22 @@
 	return res;
 }
 
-/* The whole request is here: hand it over, and suspend unless it was answered at once. */
-static enum MHD_Result hand_over(struct http_request *r)
+/* Passes a whole request to the handler; suspends the connection unless it was answered. */
+static enum MHD_Result dispatch_request(struct http_request *r)
 {
 	bool answered;
 
 	if (r->too_large) {
 		counter_add(&http_too_large, 1);
 		http_reply_problem(r, ERR_TOO_LARGE, "the body is over the limit", NULL);
-		return queue_answer(r);
+		return queue_response(r);
 	}
 	g_byte_array_append(r->input, (const guint8 *)"", 1);
 	r->body.len = r->input->len - 1;
 	r->body.data = g_byte_array_free(r->input, FALSE);
 	r->input = NULL;
-	r->phase = HTTP_HANDED;
-	r->server->fn(r, r->server->arg);
+	r->phase = HTTP_DISPATCHED;
+	r->server->handler(r, r->server->arg);
 	pthread_mutex_lock(&r->lock);
 	answered = r->phase == HTTP_ANSWERED;
 	if (!answered) {
@@ -130,10 +129,10 @@
 		MHD_suspend_connection(r->conn);
 	}
 	pthread_mutex_unlock(&r->lock);
-	return answered ? queue_answer(r) : MHD_YES;
+	return answered ? queue_response(r) : MHD_YES;
 }
 
-/* The library's callback for each step of a request. */
+/* libmicrohttpd callback: called for the header, for each part of the body, and at the end. */
 static enum MHD_Result on_request(void *cls, struct MHD_Connection *conn, const char *url,
 	const char *method, const char *version, const char *upload, size_t *upload_len,
 	void **req)
@@ -155,11 +154,11 @@
 		return MHD_YES;
 	}
 	if (request_phase(r) == HTTP_READING)
-		return hand_over(r);
-	return queue_answer(r);
+		return dispatch_request(r);
+	return queue_response(r);
 }
 
-/* The library is done with a request. */
+/* libmicrohttpd callback: the request is finished or its connection is closed. */
 static void on_completed(void *cls, struct MHD_Connection *conn, void **req,
 	enum MHD_RequestTerminationCode code)
 {
@@ -171,7 +170,7 @@
 	*req = NULL;
 }
 
-/* The library's own complaints are of interest at debug level only. */
+/* Logs messages of libmicrohttpd at debug level, as they matter only for debugging. */
 static void on_log(void *cls, const char *fmt, va_list ap)
 {
 	AUTOFREE char *text = NULL;
@@ -181,9 +180,9 @@
 		log_debug("http", "%s", g_strchomp(text));
 }
 
-/* Serve HTTP on an address with a pool of threads. */
+/* Serves HTTP on an address with a pool of threads; NULL on error. */
 struct http_server *http_server_new(const char *addr, const struct http_limits *limits,
-	http_handler *fn, void *arg, GError **err)
+	http_handler *handler, void *arg, GError **err)
 {
 	struct http_server *s = xcalloc(1, sizeof(*s));
 	int fd = addr_listen(addr, &s->addr, err);
@@ -193,7 +192,7 @@
 		return NULL;
 	}
 	s->limits = *limits;
-	s->fn = fn;
+	s->handler = handler;
 	s->arg = arg;
 	s->daemon = MHD_start_daemon(MHD_USE_EPOLL_INTERNAL_THREAD | MHD_ALLOW_SUSPEND_RESUME |
 					     MHD_USE_ITC | MHD_USE_ERROR_LOG,
@@ -202,35 +201,35 @@
 		MHD_OPTION_CONNECTION_LIMIT, limits->connections_max,
 		MHD_OPTION_PER_IP_CONNECTION_LIMIT, limits->connections_per_ip,
 		MHD_OPTION_CONNECTION_TIMEOUT, limits->idle_timeout_s,
-		MHD_OPTION_CONNECTION_MEMORY_LIMIT, (size_t)HEADER_MEMORY_MAX,
+		MHD_OPTION_CONNECTION_MEMORY_LIMIT, (size_t)CONNECTION_MEMORY_MAX,
 		MHD_OPTION_NOTIFY_COMPLETED, on_completed, s, MHD_OPTION_END);
 	if (s->daemon != NULL)
 		return s;
-	error_set(err, ERR_INTERNAL, "the HTTP server does not start on %s", addr);
+	error_set(err, ERR_INTERNAL, "cannot start the HTTP server on %s", addr);
 	g_free(s->addr);
 	free(s);
 	return NULL;
 }
 
-/* The bound address. */
+/* Returns the bound address. */
 const char *http_server_addr(const struct http_server *s)
 {
 	return s->addr;
 }
 
-/* How many requests are being read or answered. */
+/* Returns the number of requests that are not finished. */
 unsigned int http_server_open(const struct http_server *s)
 {
-	return __atomic_load_n(&s->open, __ATOMIC_RELAXED);
+	return __atomic_load_n(&s->open_requests, __ATOMIC_RELAXED);
 }
 
-/* Stop accepting; open connections go on. */
+/* Stops accepting connections; open ones continue. */
 void http_server_quiesce(struct http_server *s)
 {
 	MHD_quiesce_daemon(s->daemon);
 }
 
-/* Stop; all requests must have been answered. */
+/* Stops the server; all requests must have been answered. */
 void http_server_free(struct http_server *s)
 {
 	if (s == NULL)
@@ -240,44 +239,43 @@
 	free(s);
 }
 
-/* The request's method. */
 const char *http_method(const struct http_request *r)
 {
 	return r->method;
 }
 
-/* The request's path without the query. */
+/* Returns the path without the query. */
 const char *http_path(const struct http_request *r)
 {
 	return r->path;
 }
 
-/* A header's value or NULL; only before the handler returns. */
+/* Returns the value of a header or NULL; may be called only before the handler returns. */
 const char *http_header(const struct http_request *r, const char *name)
 {
 	return MHD_lookup_connection_value(r->conn, MHD_HEADER_KIND, name);
 }
 
-/* A query argument or NULL; only before the handler returns. */
+/* Returns a query argument or NULL; may be called only before the handler returns. */
 const char *http_query(const struct http_request *r, const char *name)
 {
 	return MHD_lookup_connection_value(r->conn, MHD_GET_ARGUMENT_KIND, name);
 }
 
-/* The whole body; a zero byte follows it. */
+/* Returns the whole body, which is followed by a zero byte. */
 const struct bytes *http_body(const struct http_request *r)
 {
 	return &r->body;
 }
 
-/* Add a header to the answer; before http_reply. */
+/* Adds a response header; must be called before http_reply. */
 void http_reply_header(struct http_request *r, const char *name, const char *value)
 {
 	g_ptr_array_add(r->headers, g_strdup(name));
 	g_ptr_array_add(r->headers, g_strdup(value));
 }
 
-/* Answer, once, from any thread. The request must not be used afterwards. */
+/* Answers a request, once, from any thread. The request must not be used afterwards. */
 void http_reply(
 	struct http_request *r, int status, const char *type, const void *body, size_t len)
 {
@@ -299,14 +297,14 @@
 	pthread_mutex_unlock(&r->lock);
 }
 
-/* Answer with text. */
+/* Answers with a string as the body. */
 void http_reply_text(struct http_request *r, int status, const char *type, const char *text)
 {
 	http_reply(r, status, type, text, strlen(text));
 }
 
-/* Escape text for a JSON string. */
-static void append_json(GString *out, const char *text)
+/* Appends text, escaped for a JSON string. */
+static void append_json_escaped(GString *out, const char *text)
 {
 	for (const char *p = text; *p != '\0'; p++) {
 		if (*p == '"' || *p == '\\')
@@ -319,8 +317,8 @@
 }
 
 /*
- * Answer with application/problem+json (RFC 9457). extra_json holds further members, each with
- * a comma before it, or is NULL. not_run must be true only where that has been proved.
+ * Answers with application/problem+json (RFC 9457). extra_json holds further members, each with
+ * a leading comma, or is NULL. not_run may be true only if the job provably has not run.
  */
 void http_reply_outcome(struct http_request *r, enum error_kind kind, const char *detail,
 	bool not_run, uint32_t retry_after_s, const char *extra_json)
@@ -333,7 +331,7 @@
 		"{\"type\":\"about:blank\",\"title\":\"%s\",\"status\":%d,"
 		"\"kind\":\"%s\",\"detail\":\"",
 		a->title, a->status, a->name);
-	append_json(out, detail != NULL ? detail : a->title);
+	append_json_escaped(out, detail != NULL ? detail : a->title);
 	g_string_append_printf(out, "\",\"not_run\":%s,\"retry\":\"%s\"",
 		not_run ? "true" : "false", retry_names[a->retry]);
 	if (retry_after_s > 0) {
@@ -349,7 +347,7 @@
 	g_string_free(out, TRUE);
 }
 
-/* Answer with what the table says of a kind. */
+/* Answers with the values that the error table has for a kind. */
 void http_reply_problem(struct http_request *r, enum error_kind kind, const char *detail,
 	const char *extra_json)
 {
@@ -358,7 +356,7 @@
 	http_reply_outcome(r, kind, detail, a->not_run, (uint32_t)a->retry_after_s, extra_json);
 }
 
-/* Answer with an error. */
+/* Answers with the kind and message of an error. */
 void http_reply_error(struct http_request *r, const GError *err)
 {
 	http_reply_problem(r, error_kind_of(err), err->message, NULL);
