--- a/packages/transport/net-addr.c
+++ b/packages/transport/net-addr.c
@@ -11,7 +11,7 @@
 
 #define LISTEN_BACKLOG 1024
 
-/* Split "IP:PORT"; only IPv4 numbers are taken. */
+/* Splits "IP:PORT"; accepts only numeric IPv4 addresses. */
 bool addr_parse(const char *text, char **host, int *port, GError **err)
 {
 	const char *colon = strrchr(text, ':');
@@ -35,7 +35,7 @@
 	return false;
 }
 
-/* Fill a socket address. */
+/* Converts "IP:PORT" to a socket address. */
 static bool to_sockaddr(const char *text, struct sockaddr_in *sa, GError **err)
 {
 	g_autofree char *host = NULL;
@@ -50,7 +50,7 @@
 	return true;
 }
 
-/* Listen on an address; port 0 takes a free one and *bound tells which. */
+/* Listens on an address; *bound receives the bound address, as port 0 selects a free port. */
 int addr_listen(const char *text, char **bound, GError **err)
 {
 	struct sockaddr_in sa;
@@ -79,7 +79,7 @@
 	return -1;
 }
 
-/* Start a connection; it may still be in progress. */
+/* Starts a non-blocking connection; it may still be in progress on return. */
 int addr_dial(const char *text, GError **err)
 {
 	struct sockaddr_in sa;
@@ -90,13 +90,13 @@
 		return -1;
 	fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
 	if (fd < 0) {
-		error_set(err, ERR_INTERNAL, "no socket: %s", g_strerror(errno));
+		error_set(err, ERR_INTERNAL, "cannot create a socket: %s", g_strerror(errno));
 		return -1;
 	}
 	setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &one, sizeof(one));
 	if (connect(fd, (struct sockaddr *)&sa, sizeof(sa)) == 0 || errno == EINPROGRESS)
 		return fd;
-	error_set(err, ERR_INTERNAL, "cannot reach %s: %s", text, g_strerror(errno));
+	error_set(err, ERR_INTERNAL, "cannot connect to %s: %s", text, g_strerror(errno));
 	close(fd);
 	return -1;
 }
