--- a/packages/bench/bench-scale.c
+++ b/packages/bench/bench-scale.c
@@ -9,34 +9,42 @@
 #include <unistd.h>
 
 /*
- * Measures what a coordinator and an agent cost against the number of agents, and what a
- * decision costs against cell size and queue length. The coordinator, an entry and the store
- * stand-in are real processes; the other agents are real connections of this process, each
- * with the agent core behind it.
+ * Measures the cost of a coordinator and an entry by number of agents, and the cost of a
+ * scheduling pass by cell size and queue length. The coordinator with its agent, the entry and
+ * the store stand-in are separate processes. The agents are simulated in this process: each has
+ * its own connection and agent core.
  */
 
-#define SETTLE_TIME  (5 * NSEC_PER_SEC)
-#define MEASURE_TIME (10 * NSEC_PER_SEC)
-#define DIR_MAX	     256
-
-struct fake {
-	struct scale *scale;
+#define SETTLE_TIME_NS	 (5 * NSEC_PER_SEC)
+#define MEASURE_TIME_NS	 (10 * NSEC_PER_SEC)
+#define ARG_LEN_MAX	 256 /* bytes */
+#define HTTP_TIMEOUT_NS	 (5 * NSEC_PER_SEC)
+#define STORE_START_US	 200000
+#define DAEMON_START_S	 2
+#define WORKERS_PER_RACK 3
+#define PASSES_MIN	 5
+#define PASSES_MAX	 200
+#define PASSES_TIME_NS	 (NSEC_PER_SEC / 5)
+#define PASS_INTERVAL_NS (100 * NSEC_PER_MSEC)
+
+struct fake_agent {
+	struct bench *bench;
 	struct agent_core *core;
 	peer_id peer;
 	char name[32];
 	uint64_t incarnation;
-	uint64_t config;
+	uint64_t config_revision;
 };
 
-struct scale {
+struct bench {
 	struct loop *loop;
 	struct peer_net *net;
-	struct fake *fakes;
-	size_t len;
-	char *coordinator;
+	struct fake_agent *agents;
+	size_t agents_len;
+	char *coordinator_addr;
 };
 
-/* What a process has used. */
+/* Resources that a process has used. */
 struct usage {
 	double cpu_s;
 	double rss_mb;
@@ -46,10 +54,10 @@
 
 static void port_send(void *arg, const struct msg *m)
 {
-	struct fake *f = arg;
+	struct fake_agent *a = arg;
 	struct bytes b = msg_encode(m);
 
-	peer_send(f->scale->net, f->peer, b.data, b.len);
+	peer_send(a->bench->net, a->peer, b.data, b.len);
 	bytes_clear(&b);
 }
 
@@ -62,10 +70,10 @@
 
 static void port_start(void *arg, const struct agent_member *m)
 {
-	struct fake *f = arg;
+	struct fake_agent *a = arg;
 	struct job_result r = {.status = 200};
 
-	agent_core_task_ended(f->core, loop_now(f->scale->loop), m->record.spec.id,
+	agent_core_task_ended(a->core, loop_now(a->bench->loop), m->record.spec.id,
 		m->record.attempt, MEMBER_END_DONE, &r);
 }
 
@@ -76,44 +84,44 @@
 	(void)mode;
 }
 
-/* Find the fake agent of a connection. */
-static struct fake *by_peer(struct scale *s, peer_id peer)
+/* Finds the simulated agent of a connection. */
+static struct fake_agent *find_agent_by_peer(struct bench *b, peer_id peer)
 {
-	for (size_t i = 0; i < s->len; i++) {
-		if (s->fakes[i].peer == peer)
-			return &s->fakes[i];
+	for (size_t i = 0; i < b->agents_len; i++) {
+		if (b->agents[i].peer == peer)
+			return &b->agents[i];
 	}
 	return NULL;
 }
 
 static void on_opened(void *arg, peer_id peer, bool dialled)
 {
-	struct fake *f = by_peer(arg, peer);
+	struct fake_agent *a = find_agent_by_peer(arg, peer);
 	struct msg m = {.kind = MSG_HELLO};
 
 	(void)dialled;
 	m.hello = (struct msg_hello){.role = ROLE_AGENT,
-		.name = f->name,
+		.name = a->name,
 		.addr = "127.0.0.1:1",
 		.zone = "z",
-		.incarnation = f->incarnation};
-	port_send(f, &m);
+		.incarnation = a->incarnation};
+	port_send(a, &m);
 }
 
 static void on_message(void *arg, peer_id peer, const uint8_t *body, size_t len)
 {
-	struct scale *s = arg;
-	struct fake *f = by_peer(s, peer);
+	struct bench *b = arg;
+	struct fake_agent *a = find_agent_by_peer(b, peer);
 	struct msg m;
 
-	if (f == NULL || !msg_decode(&m, body, len, NULL))
+	if (a == NULL || !msg_decode(&m, body, len, NULL))
 		return;
 	if (m.kind == MSG_WELCOME)
-		agent_core_adopt_term(f->core, loop_now(s->loop), m.welcome.term);
+		agent_core_adopt_term(a->core, loop_now(b->loop), m.welcome.term);
 	else if (m.kind == MSG_BEAT_ACK)
-		f->config = m.beat_ack.config_revision;
+		a->config_revision = m.beat_ack.config_revision;
 	else
-		agent_core_message(f->core, loop_now(s->loop), &m);
+		agent_core_message(a->core, loop_now(b->loop), &m);
 	msg_clear(&m);
 }
 
@@ -124,19 +132,19 @@
 	(void)why;
 }
 
-/* Each second: beats of all fake agents. */
-static void beat(void *arg)
+/* Sends the heartbeats of all simulated agents. */
+static void send_beats(void *arg)
 {
-	struct scale *s = arg;
+	struct bench *b = arg;
 
-	for (size_t i = 0; i < s->len; i++) {
-		struct fake *f = &s->fakes[i];
+	for (size_t i = 0; i < b->agents_len; i++) {
+		struct fake_agent *a = &b->agents[i];
 		struct msg m = {.kind = MSG_BEAT,
-			.beat = {.term = agent_core_term(f->core),
-				.config_revision = f->config}};
+			.beat = {.term = agent_core_term(a->core),
+				.config_revision = a->config_revision}};
 
-		agent_core_tick(f->core, loop_now(s->loop));
-		port_send(f, &m);
+		agent_core_tick(a->core, loop_now(b->loop));
+		port_send(a, &m);
 	}
 }
 
@@ -145,15 +153,14 @@
 	loop_stop(arg);
 }
 
-/* Run the loop for a while. */
-static void run_for(struct scale *s, int64_t time)
+static void run_loop_for(struct bench *b, int64_t duration_ns)
 {
-	loop_timer_add(s->loop, time, 0, stop_loop, s->loop);
-	loop_run(s->loop);
+	loop_timer_add(b->loop, duration_ns, 0, stop_loop, b->loop);
+	loop_run(b->loop);
 }
 
-/* Start a program with its error output in a file. */
-static pid_t launch(const char *log, char *const argv[])
+/* Starts a program with its standard error appended to a file. */
+static pid_t start_process(const char *log, char *const argv[])
 {
 	pid_t pid = fork();
 
@@ -168,15 +175,15 @@
 	return pid;
 }
 
-/* The text of a URL, or NULL. */
-static char *fetch(const char *method, const char *url, const char *body)
+/* Returns the body of a successful response, or NULL. */
+static char *fetch_text(const char *method, const char *url, const char *body)
 {
 	struct http_call *c = http_call_new(method, url);
 	char *text = NULL;
 
 	if (body != NULL)
 		c->body = bytes_copy(body, strlen(body));
-	c->timeout = 5 * NSEC_PER_SEC;
+	c->timeout = HTTP_TIMEOUT_NS;
 	http_call_run(c);
 	if (c->status == 200)
 		text = bytes_copy(c->answer.data, c->answer.len).data;
@@ -184,7 +191,7 @@
 	return text;
 }
 
-/* The sum of the counters whose names begin so. */
+/* Returns the sum of all counters whose name has a prefix. */
 static double counter_sum(const char *text, const char *prefix)
 {
 	g_auto(GStrv) lines = g_strsplit(text != NULL ? text : "", "\n", -1);
@@ -199,12 +206,12 @@
 	return sum;
 }
 
-/* Read what a process has used. */
+/* Reads the CPU time and memory of a process from /proc and its counters from its metrics. */
 static struct usage read_usage(pid_t pid, const char *metrics)
 {
 	g_autofree char *path = g_strdup_printf("/proc/%d/stat", pid);
 	g_autofree char *text = NULL;
-	AUTOFREE char *counters = fetch("GET", metrics, NULL);
+	AUTOFREE char *counters = fetch_text("GET", metrics, NULL);
 	struct usage u = {0};
 	unsigned long user = 0;
 	unsigned long sys = 0;
@@ -222,43 +229,42 @@
 	return u;
 }
 
-/* Print one figure. */
-static void row(const char *what, double n, double value, const char *unit)
+static void print_figure(const char *what, double n, double value, const char *unit)
 {
 	printf("scale what=%s n=%.0f value=%.5g unit=%s\n", what, n, value, unit);
 	fflush(stdout);
 }
 
-/* Least squares; prints slope, intercept and the largest residual. */
-static void fit(
+/* Fits a line by least squares; prints slope, intercept and the largest residual. */
+static void print_linear_fit(
 	const char *what, const double *x, const double *y, size_t len, const char *unit)
 {
-	double mx = 0, my = 0, sxy = 0, sxx = 0, worst = 0;
+	double mean_x = 0, mean_y = 0, sxy = 0, sxx = 0, residual_max = 0;
 	double slope;
 
 	for (size_t i = 0; i < len; i++) {
-		mx += x[i] / (double)len;
-		my += y[i] / (double)len;
+		mean_x += x[i] / (double)len;
+		mean_y += y[i] / (double)len;
 	}
 	for (size_t i = 0; i < len; i++) {
-		sxy += (x[i] - mx) * (y[i] - my);
-		sxx += (x[i] - mx) * (x[i] - mx);
+		sxy += (x[i] - mean_x) * (y[i] - mean_y);
+		sxx += (x[i] - mean_x) * (x[i] - mean_x);
 	}
 	slope = sxx > 0 ? sxy / sxx : 0;
 	for (size_t i = 0; i < len; i++)
-		worst = MAX(worst, ABS(y[i] - my - slope * (x[i] - mx)));
+		residual_max = MAX(residual_max, ABS(y[i] - mean_y - slope * (x[i] - mean_x)));
 	printf("slope what=%s per_unit=%.5g base=%.5g residual_max=%.3g unit=%s\n", what, slope,
-		my - slope * mx, worst, unit);
+		mean_y - slope * mean_x, residual_max, unit);
 	fflush(stdout);
 }
 
-/* Connect n fake agents with their workers. */
-static void connect_fakes(struct scale *s, size_t n)
+/* Connects n simulated agents, each with a worker. */
+static void connect_agents(struct bench *b, size_t n)
 {
-	s->fakes = xcalloc(n, sizeof(*s->fakes));
+	b->agents = xcalloc(n, sizeof(*b->agents));
 	for (size_t i = 0; i < n; i++) {
-		struct fake *f = &s->fakes[i];
-		struct agent_ports ports = {port_send, port_gang, port_start, port_stop, f};
+		struct fake_agent *a = &b->agents[i];
+		struct agent_ports ports = {port_send, port_gang, port_start, port_stop, a};
 		struct agent_upstream u = {.expires = INT64_MAX,
 			.addr = "127.0.0.1:1",
 			.accelerators = 2,
@@ -268,21 +274,21 @@
 			.memory_mb = 65536};
 		char rack[32];
 
-		f->scale = s;
-		snprintf(f->name, sizeof(f->name), "fake%zu", i);
-		snprintf(rack, sizeof(rack), "rack%zu", i / 3);
-		f->incarnation = i + 1;
-		f->core = agent_core_new(&ports);
-		u.worker = f->name;
+		a->bench = b;
+		snprintf(a->name, sizeof(a->name), "fake%zu", i);
+		snprintf(rack, sizeof(rack), "rack%zu", i / WORKERS_PER_RACK);
+		a->incarnation = i + 1;
+		a->core = agent_core_new(&ports);
+		u.worker = a->name;
 		u.rack = rack;
 		u.zone = "z";
-		agent_core_upstream_announced(f->core, loop_now(s->loop), &u);
-		s->len = i + 1;
-		f->peer = peer_dial(s->net, s->coordinator, NULL);
+		agent_core_upstream_announced(a->core, loop_now(b->loop), &u);
+		b->agents_len = i + 1;
+		a->peer = peer_dial(b->net, b->coordinator_addr, NULL);
 	}
 }
 
-/* A free loopback address. */
+/* Returns a loopback address with a free port. */
 static char *free_addr(void)
 {
 	char *addr = NULL;
@@ -291,80 +297,82 @@
 	return addr;
 }
 
-/* Measure a coordinator, an entry and an agent without work against n agents. */
+/* Measures an idle coordinator, which is also an agent, and an idle entry with n agents. */
 static void measure_cell(
 	const char *bin, size_t n, double *cpu, double *rss, double *bytes, double *entry_cpu)
 {
-	struct scale s = {.loop = loop_new(&clock_system)};
+	struct bench b = {.loop = loop_new(&clock_system)};
 	struct keyring *keys = keyring_parse("damaskpath-development", NULL);
-	struct peer_events events = {on_opened, on_message, on_closed, &s};
+	struct peer_events events = {on_opened, on_message, on_closed, &b};
 	g_autofree char *store = free_addr();
 	g_autofree char *peer = free_addr();
 	g_autofree char *http = free_addr();
 	g_autofree char *entry = free_addr();
-	char words[8][DIR_MAX];
-	char metrics[DIR_MAX];
-	char entry_metrics[DIR_MAX];
-	struct usage a, b, ea, eb;
+	char args[8][ARG_LEN_MAX];
+	char metrics[ARG_LEN_MAX];
+	char entry_metrics[ARG_LEN_MAX];
+	struct usage before, after, entry_before, entry_after;
 	pid_t pids[3];
-	double seconds = (double)MEASURE_TIME / (double)NSEC_PER_SEC;
-
-	snprintf(words[0], DIR_MAX, "%s/standin-store", bin);
-	snprintf(words[1], DIR_MAX, "%s/damaskpathd", bin);
-	snprintf(words[2], DIR_MAX, "--store=http://%s", store);
-	snprintf(words[3], DIR_MAX, "--peer=%s", peer);
-	snprintf(words[4], DIR_MAX, "--agent-http=%s", http);
-	snprintf(words[5], DIR_MAX, "--http=%s", entry);
-	snprintf(metrics, DIR_MAX, "http://%s/metrics", http);
-	snprintf(entry_metrics, DIR_MAX, "http://%s/metrics", entry);
-	pids[0] = launch("/dev/null", (char *[]){words[0], store, NULL});
-	usleep(200000);
-	pids[1] = launch("/dev/null", (char *[]){words[1], "agent", words[2], words[3],
-					      words[4], "--cell=cell-1", NULL});
-	pids[2] = launch("/dev/null", (char *[]){words[1], "entry", words[2], words[5], NULL});
-	sleep(2);
-	s.coordinator = peer;
-	s.net = peer_net_new(s.loop, keys, &events);
-	connect_fakes(&s, n);
-	loop_timer_add(s.loop, NSEC_PER_SEC, NSEC_PER_SEC, beat, &s);
-	run_for(&s, SETTLE_TIME);
-	a = read_usage(pids[1], metrics);
-	ea = read_usage(pids[2], entry_metrics);
-	run_for(&s, MEASURE_TIME);
-	b = read_usage(pids[1], metrics);
-	eb = read_usage(pids[2], entry_metrics);
-	*cpu = 100 * (b.cpu_s - a.cpu_s) / seconds;
-	*rss = b.rss_mb;
-	*bytes = (b.bytes - a.bytes) / seconds;
-	*entry_cpu = 100 * (eb.cpu_s - ea.cpu_s) / seconds;
-	row("coordinator_cpu", (double)n, *cpu, "percent_of_core");
-	row("coordinator_rss", (double)n, *rss, "MB");
-	row("coordinator_bytes", (double)n, *bytes, "bytes_per_s");
-	row("coordinator_store_calls", (double)n, (b.store_calls - a.store_calls) / seconds,
-		"calls_per_s");
-	row("entry_cpu_idle", (double)n, *entry_cpu, "percent_of_core");
-	row("entry_rss", (double)n, eb.rss_mb, "MB");
-	row("entry_bytes", (double)n, (eb.bytes - ea.bytes) / seconds, "bytes_per_s");
-	row("entry_store_calls", (double)n, (eb.store_calls - ea.store_calls) / seconds,
-		"calls_per_s");
+	double seconds = (double)MEASURE_TIME_NS / (double)NSEC_PER_SEC;
+
+	snprintf(args[0], ARG_LEN_MAX, "%s/standin-store", bin);
+	snprintf(args[1], ARG_LEN_MAX, "%s/damaskpathd", bin);
+	snprintf(args[2], ARG_LEN_MAX, "--store=http://%s", store);
+	snprintf(args[3], ARG_LEN_MAX, "--peer=%s", peer);
+	snprintf(args[4], ARG_LEN_MAX, "--agent-http=%s", http);
+	snprintf(args[5], ARG_LEN_MAX, "--http=%s", entry);
+	snprintf(metrics, ARG_LEN_MAX, "http://%s/metrics", http);
+	snprintf(entry_metrics, ARG_LEN_MAX, "http://%s/metrics", entry);
+	pids[0] = start_process("/dev/null", (char *[]){args[0], store, NULL});
+	usleep(STORE_START_US);
+	pids[1] = start_process("/dev/null",
+		(char *[]){args[1], "agent", args[2], args[3], args[4], "--cell=cell-1", NULL});
+	pids[2] = start_process(
+		"/dev/null", (char *[]){args[1], "entry", args[2], args[5], NULL});
+	sleep(DAEMON_START_S);
+	b.coordinator_addr = peer;
+	b.net = peer_net_new(b.loop, keys, &events);
+	connect_agents(&b, n);
+	loop_timer_add(b.loop, NSEC_PER_SEC, NSEC_PER_SEC, send_beats, &b);
+	run_loop_for(&b, SETTLE_TIME_NS);
+	before = read_usage(pids[1], metrics);
+	entry_before = read_usage(pids[2], entry_metrics);
+	run_loop_for(&b, MEASURE_TIME_NS);
+	after = read_usage(pids[1], metrics);
+	entry_after = read_usage(pids[2], entry_metrics);
+	*cpu = 100 * (after.cpu_s - before.cpu_s) / seconds;
+	*rss = after.rss_mb;
+	*bytes = (after.bytes - before.bytes) / seconds;
+	*entry_cpu = 100 * (entry_after.cpu_s - entry_before.cpu_s) / seconds;
+	print_figure("coordinator_cpu", (double)n, *cpu, "percent_of_core");
+	print_figure("coordinator_rss", (double)n, *rss, "MB");
+	print_figure("coordinator_bytes", (double)n, *bytes, "bytes_per_s");
+	print_figure("coordinator_store_calls", (double)n,
+		(after.store_calls - before.store_calls) / seconds, "calls_per_s");
+	print_figure("entry_cpu_idle", (double)n, *entry_cpu, "percent_of_core");
+	print_figure("entry_rss", (double)n, entry_after.rss_mb, "MB");
+	print_figure("entry_bytes", (double)n,
+		(entry_after.bytes - entry_before.bytes) / seconds, "bytes_per_s");
+	print_figure("entry_store_calls", (double)n,
+		(entry_after.store_calls - entry_before.store_calls) / seconds, "calls_per_s");
 	for (size_t i = 0; i < 3; i++) {
 		kill(pids[i], SIGKILL);
 		waitpid(pids[i], NULL, 0);
 	}
-	for (size_t i = 0; i < s.len; i++)
-		agent_core_free(s.fakes[i].core);
-	free(s.fakes);
-	peer_net_free(s.net);
-	loop_free(s.loop);
+	for (size_t i = 0; i < b.agents_len; i++)
+		agent_core_free(b.agents[i].core);
+	free(b.agents);
+	peer_net_free(b.net);
+	loop_free(b.loop);
 	keyring_free(keys);
 }
 
-/* Time one pass of the core over a full cell with a queue. */
+/* Measures the mean time of a scheduling pass over a full cell with a queue. */
 static void measure_decision(uint32_t workers, uint32_t queue)
 {
 	struct sched *s = sched_new(SCHED_POLICY_FULL, 1);
 	int64_t now = NSEC_PER_SEC;
-	int64_t began;
+	int64_t begin_ns;
 	int passes = 0;
 
 	for (uint32_t i = 0; i < workers; i++) {
@@ -373,7 +381,7 @@
 		struct sched_worker_spec spec = {name, rack, {8, 8, 32, 65536}};
 
 		snprintf(name, sizeof(name), "w%u", i);
-		snprintf(rack, sizeof(rack), "r%u", i / 3);
+		snprintf(rack, sizeof(rack), "r%u", i / WORKERS_PER_RACK);
 		sched_worker_up(s, now, &spec);
 	}
 	for (uint32_t i = 0; i < workers + queue; i++) {
@@ -397,15 +405,15 @@
 			sched_action_clear(&a);
 		}
 	}
-	began = clock_now(&clock_system);
-	while (passes < 5 ||
-		(clock_now(&clock_system) - began < NSEC_PER_SEC / 5 && passes < 200)) {
-		now += 100 * NSEC_PER_MSEC;
+	begin_ns = clock_now(&clock_system);
+	while (passes < PASSES_MIN ||
+		(clock_now(&clock_system) - begin_ns < PASSES_TIME_NS && passes < PASSES_MAX)) {
+		now += PASS_INTERVAL_NS;
 		sched_run(s, now);
 		passes++;
 	}
 	printf("scale what=decision_pass n=%u queue=%u value=%.5g unit=ms\n", workers, queue,
-		(double)(clock_now(&clock_system) - began) / 1e6 / passes);
+		(double)(clock_now(&clock_system) - begin_ns) / 1e6 / passes);
 	fflush(stdout);
 	sched_free(s);
 }
@@ -426,10 +434,12 @@
 		x[i] = (double)sizes[i];
 		measure_cell(bin, sizes[i], &cpu[i], &rss[i], &bytes[i], &entry[i]);
 	}
-	fit("coordinator_cpu_per_agent", x, cpu, ARRAY_LEN(sizes), "percent_of_core");
-	fit("coordinator_rss_per_agent", x, rss, ARRAY_LEN(sizes), "MB");
-	fit("coordinator_bytes_per_agent", x, bytes, ARRAY_LEN(sizes), "bytes_per_s");
-	fit("entry_cpu_per_agent", x, entry, ARRAY_LEN(sizes), "percent_of_core");
+	print_linear_fit(
+		"coordinator_cpu_per_agent", x, cpu, ARRAY_LEN(sizes), "percent_of_core");
+	print_linear_fit("coordinator_rss_per_agent", x, rss, ARRAY_LEN(sizes), "MB");
+	print_linear_fit(
+		"coordinator_bytes_per_agent", x, bytes, ARRAY_LEN(sizes), "bytes_per_s");
+	print_linear_fit("entry_cpu_per_agent", x, entry, ARRAY_LEN(sizes), "percent_of_core");
 	for (size_t c = 0; c < ARRAY_LEN(cells); c++) {
 		for (size_t q = 0; q < ARRAY_LEN(queues); q++)
 			measure_decision(cells[c], queues[q]);
