--- a/packages/bench/bench-workload.c
+++ b/packages/bench/bench-workload.c
@@ -1,6 +1,7 @@
 /*
- * What the coordinator's decisions cost: a simulated fleet under a load above its capacity,
- *with the mix of jobs that its users have. Prints processor time a simulated second and a pass.
+ * Measures the cost of the coordinator's decisions on a simulated fleet, under a load of LOAD
+ * times its capacity (1.2 by default) and with a mix of jobs like that of its users. Prints
+ * the CPU time per simulated second and per scheduling pass.
  *
  *	bench-workload WORKERS [SECONDS [LOAD]]
  */
@@ -12,29 +13,33 @@
 #include <string.h>
 #include <time.h>
 
-#define STEP	     (20 * NSEC_PER_MSEC)
-#define REPORT_EACH  NSEC_PER_SEC
-#define RACK_SIZE    8
-#define ORGS	     10
-#define ACCELERATORS 8
-#define STOP_TAKES   (300 * NSEC_PER_MSEC)
-
-/* Kinds of jobs: a share of the accelerators of the fleet, tasks, run time. */
-static const struct kind {
+#define STEP_NS			(20 * NSEC_PER_MSEC)
+#define REPORT_INTERVAL_NS	NSEC_PER_SEC
+#define WORKERS_PER_RACK	8
+#define ORG_COUNT		10
+#define ACCELERATORS_PER_WORKER 8
+#define ANY_SIZE_MEAN		3.75 /* accelerators: the mean of 1, 2, 4 and 8 */
+#define PASS_INTERVAL_NS	(100 * NSEC_PER_MSEC)
+#define RANDOM_SEED		20261204
+#define STOP_DURATION_NS	(300 * NSEC_PER_MSEC)
+
+/* The mix of jobs. */
+static const struct job_kind {
 	const char *queue;
 	uint32_t priority;
-	double share;
-	double tasks;
-	double seconds;
-	bool any_size; /* 1 to 8 accelerators a task */
-} kinds[] = {{"confirm", 0, 0.30, 5, 2.5, true}, {"plan", 1, 0.45, 6, 6.8, true},
+	double share;	/* of the accelerators of the fleet */
+	double tasks;	/* mean tasks per job */
+	double seconds; /* mean run time */
+	bool any_size;	/* 1, 2, 4 or 8 accelerators per task, otherwise 1 */
+} job_kinds[] = {{"confirm", 0, 0.30, 5, 2.5, true}, {"plan", 1, 0.45, 6, 6.8, true},
 	{"quote", 2, 0.25, 30, 6.1, false}};
 
+/* A run on a simulated worker. Times are simulated, in nanoseconds. */
 struct sim_run {
 	char task[48];
 	uint32_t attempt;
-	int64_t began;
-	int64_t ends;
+	int64_t started_at;
+	int64_t ends_at;
 	bool stopped;
 	struct sim_node *node;
 };
@@ -46,13 +51,13 @@
 	uint64_t ended;
 	GPtrArray *runs;
 	GArray *ends;
-	bool changed;
+	bool report_due; /* the runs have changed since the last report */
 };
 struct sim {
 	struct wl *wl;
 	GPtrArray *nodes;
-	GPtrArray *dirty;
-	GHashTable *run_time; /* by job id, in ns */
+	GPtrArray *dirty;     /* ids of jobs with progress to store */
+	GHashTable *run_time; /* job id to run time in nanoseconds */
 	int64_t now;
 	uint64_t ordinal;
 	unsigned int jobs;
@@ -61,7 +66,7 @@
 	unsigned int done;
 };
 
-static struct sim_node *node_of(struct sim *s, const char *name)
+static struct sim_node *find_node(struct sim *s, const char *name)
 {
 	for (guint i = 0; i < s->nodes->len; i++) {
 		if (strcmp(((struct sim_node *)s->nodes->pdata[i])->name, name) == 0)
@@ -73,28 +78,28 @@
 static void on_start(void *arg, const char *node, const struct wl_start_order *o)
 {
 	struct sim *s = arg;
-	struct sim_node *n = node_of(s, node);
+	struct sim_node *n = find_node(s, node);
 
 	for (uint32_t i = 0; i < o->starts_len; i++) {
 		struct sim_run *r = xcalloc(1, sizeof(*r));
 		g_autofree char *id = g_strndup(o->starts[i].task, WL_ID_LEN);
-		const int64_t *takes = g_hash_table_lookup(s->run_time, id);
+		const int64_t *run_time_ns = g_hash_table_lookup(s->run_time, id);
 
 		g_strlcpy(r->task, o->starts[i].task, sizeof(r->task));
 		r->attempt = o->starts[i].attempt;
-		r->began = s->now;
-		r->ends = s->now + *takes;
+		r->started_at = s->now;
+		r->ends_at = s->now + *run_time_ns;
 		g_ptr_array_add(n->runs, r);
 		s->ordinal = o->starts[i].ordinal;
 		s->starts++;
 	}
-	n->changed = true;
+	n->report_due = true;
 }
 
 static void on_stop(void *arg, const char *node, const struct wl_stop_order *o)
 {
 	struct sim *s = arg;
-	const struct sim_node *n = node_of(s, node);
+	const struct sim_node *n = find_node(s, node);
 
 	s->stops++;
 	for (guint i = 0; i < n->runs->len; i++) {
@@ -103,7 +108,7 @@
 		if (strcmp(r->task, o->task) != 0 || r->stopped)
 			continue;
 		r->stopped = true;
-		r->ends = MIN(r->ends, s->now + STOP_TAKES);
+		r->ends_at = MIN(r->ends_at, s->now + STOP_DURATION_NS);
 	}
 }
 
@@ -121,7 +126,8 @@
 	g_ptr_array_add(s->dirty, g_strdup(id));
 }
 
-static void store(struct sim *s)
+/* Reports the progress of all changed jobs as stored. */
+static void complete_store_writes(struct sim *s)
 {
 	while (s->dirty->len > 0) {
 		g_autofree char *id = g_ptr_array_steal_index_fast(s->dirty, 0);
@@ -133,7 +139,7 @@
 	}
 }
 
-/* A worker's lists, whole. */
+/* Sends a worker's complete lists: its runs, and those that ended since the last report. */
 static void report(struct sim *s, struct sim_node *n)
 {
 	GArray *runs = g_array_new(FALSE, TRUE, sizeof(struct wl_run));
@@ -143,7 +149,7 @@
 		.rack = n->rack,
 		.cores_m = 128000,
 		.memory_mb = 262144,
-		.accelerators = ACCELERATORS,
+		.accelerators = ACCELERATORS_PER_WORKER,
 		.covers = s->ordinal,
 		.ends = (struct wl_ended *)n->ends->data,
 		.ends_len = n->ends->len};
@@ -152,8 +158,8 @@
 		struct sim_run *x = n->runs->pdata[i];
 		struct wl_run run = {.task = x->task,
 			.attempt = x->attempt,
-			.percent = (uint32_t)(100 * (s->now - x->began) /
-					      MAX(x->ends - x->began, 1))};
+			.percent = (uint32_t)(100 * (s->now - x->started_at) /
+					      MAX(x->ends_at - x->started_at, 1))};
 
 		g_array_append_val(runs, run);
 	}
@@ -164,12 +170,12 @@
 		free(g_array_index(n->ends, struct wl_ended, i).task);
 	g_array_set_size(n->ends, 0);
 	g_array_free(runs, TRUE);
-	n->changed = false;
-	n->next_report = s->now + REPORT_EACH;
+	n->report_due = false;
+	n->next_report = s->now + REPORT_INTERVAL_NS;
 }
 
-/* Runs end. */
-static void work(struct sim *s, struct sim_node *n)
+/* Ends the runs whose time has come. */
+static void end_due_runs(struct sim *s, struct sim_node *n)
 {
 	for (guint i = n->runs->len; i > 0; i--) {
 		struct sim_run *r = n->runs->pdata[i - 1];
@@ -178,7 +184,7 @@
 			.number = n->ended + 1,
 			.how = r->stopped ? WL_END_STOPPED : WL_END_DONE};
 
-		if (s->now < r->ends) {
+		if (s->now < r->ends_at) {
 			free(e.task);
 			continue;
 		}
@@ -187,22 +193,22 @@
 		g_array_append_val(n->ends, e);
 		g_ptr_array_remove_index(n->runs, i - 1);
 		free(r);
-		n->changed = true;
+		n->report_due = true;
 	}
 }
 
-/* A number around a mean. */
-static double around(double mean)
+/* Returns a random number around a mean, log-uniform within a factor of exp(0.6). */
+static double random_around(double mean)
 {
 	return mean * exp(0.6 * g_random_double_range(-1, 1));
 }
 
-static void submit(struct sim *s, const struct kind *k)
+static void submit(struct sim *s, const struct job_kind *k)
 {
 	char id[WL_ID_LEN + 1];
 	char org[16];
-	int64_t *takes = g_new(int64_t, 1);
-	struct wl_step step = {.count = (uint32_t)MAX(around(k->tasks), 1),
+	int64_t *run_time_ns = g_new(int64_t, 1);
+	struct wl_step step = {.count = (uint32_t)MAX(random_around(k->tasks), 1),
 		.cores_m = 11000,
 		.memory_mb = 23000,
 		.accelerators = k->any_size ? 1u << g_random_int_range(0, 4) : 1,
@@ -217,10 +223,10 @@
 		.steps_len = 1};
 
 	g_snprintf(id, sizeof(id), "%016x", ++s->jobs);
-	g_snprintf(org, sizeof(org), "o%d", g_random_int_range(0, ORGS));
-	*takes = (int64_t)(around(k->seconds) * (double)NSEC_PER_SEC);
-	step.estimate_ms = (uint32_t)(*takes / NSEC_PER_MSEC);
-	g_hash_table_insert(s->run_time, g_strdup(id), takes);
+	g_snprintf(org, sizeof(org), "o%d", g_random_int_range(0, ORG_COUNT));
+	*run_time_ns = (int64_t)(random_around(k->seconds) * (double)NSEC_PER_SEC);
+	step.estimate_ms = (uint32_t)(*run_time_ns / NSEC_PER_MSEC);
+	g_hash_table_insert(s->run_time, g_strdup(id), run_time_ns);
 	wl_job_add(s->wl, s->now, s->now, &spec, NULL);
 }
 
@@ -228,31 +234,31 @@
 {
 	struct wl_config *c = wl_config_new();
 
-	for (size_t i = 0; i < ARRAY_LEN(kinds); i++) {
+	for (size_t i = 0; i < ARRAY_LEN(job_kinds); i++) {
 		struct wl_queue *q = xcalloc(1, sizeof(*q));
 
-		q->name = xstrdup(kinds[i].queue);
+		q->name = xstrdup(job_kinds[i].queue);
 		q->host = xstrdup("h");
-		q->prefix = xstrdup(kinds[i].queue);
+		q->prefix = xstrdup(job_kinds[i].queue);
 		q->service = xstrdup("s");
-		q->priority = kinds[i].priority;
+		q->priority = job_kinds[i].priority;
 		q->attempts_max = 4;
-		q->stretch = kinds[i].priority == 0 ? 1.5 : 3;
+		q->stretch = job_kinds[i].priority == 0 ? 1.5 : 3;
 		q->target_ms = 250;
 		wl_config_add_queue(c, q);
 	}
-	for (int i = 0; i < ORGS; i++) {
+	for (int i = 0; i < ORG_COUNT; i++) {
 		struct wl_org *o = xcalloc(1, sizeof(*o));
 
 		o->name = g_strdup_printf("o%d", i);
 		o->keys = g_ptr_array_new_with_free_func(free);
-		o->guaranteed = workers * ACCELERATORS / (2 * ORGS);
+		o->guaranteed = workers * ACCELERATORS_PER_WORKER / (2 * ORG_COUNT);
 		wl_config_add_org(c, o);
 	}
 	return c;
 }
 
-static double cpu_now(void)
+static double cpu_time_s(void)
 {
 	struct timespec t;
 
@@ -273,73 +279,76 @@
 		.reclaim_max = 2900 * NSEC_PER_MSEC,
 		.retention = 150 * NSEC_PER_SEC};
 	struct sim s = {.now = 100 * NSEC_PER_SEC};
-	const struct wl_callbacks out = {.start = on_start,
+	const struct wl_callbacks callbacks = {.start = on_start,
 		.stop = on_stop,
 		.pace = on_pace,
 		.dirty = on_dirty,
 		.arg = &s};
 	struct wl_config *config = make_config(workers);
-	double due[ARRAY_LEN(kinds)] = {0};
-	double pass_cpu = 0;
-	double worst = 0;
-	double begin;
+	double jobs_due[ARRAY_LEN(job_kinds)] = {0};
+	double pass_cpu_s = 0;
+	double pass_cpu_max_s = 0;
+	double cpu_begin_s;
 	unsigned int passes = 0;
 
-	g_random_set_seed(20261204);
+	g_random_set_seed(RANDOM_SEED);
 	s.nodes = g_ptr_array_new();
 	s.dirty = g_ptr_array_new_with_free_func(g_free);
 	s.run_time = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	s.wl = wl_new(1, &limits, &out);
+	s.wl = wl_new(1, &limits, &callbacks);
 	wl_set_config(s.wl, config);
 	for (unsigned int i = 0; i < workers; i++) {
 		struct sim_node *n = xcalloc(1, sizeof(*n));
 
 		g_snprintf(n->name, sizeof(n->name), "w%u", i);
 		g_snprintf(n->life, sizeof(n->life), "l%u", i);
-		g_snprintf(n->rack, sizeof(n->rack), "r%u", i / RACK_SIZE);
+		g_snprintf(n->rack, sizeof(n->rack), "r%u", i / WORKERS_PER_RACK);
 		n->runs = g_ptr_array_new();
 		n->ends = g_array_new(FALSE, TRUE, sizeof(struct wl_ended));
-		n->next_report = s.now + i * REPORT_EACH / workers;
+		n->next_report = s.now + i * REPORT_INTERVAL_NS / workers;
 		g_ptr_array_add(s.nodes, n);
 		report(&s, n);
 	}
-	begin = cpu_now();
+	cpu_begin_s = cpu_time_s();
 	for (int64_t end = s.now + (int64_t)(seconds * (double)NSEC_PER_SEC); s.now < end;
-		s.now += STEP) {
-		for (size_t k = 0; k < ARRAY_LEN(kinds); k++) {
-			double size = kinds[k].any_size ? 3.75 : 1;
-			double a_second = load * kinds[k].share * workers * ACCELERATORS /
-					  (kinds[k].tasks * kinds[k].seconds * size);
-
-			due[k] += a_second * (double)STEP / (double)NSEC_PER_SEC;
-			for (; due[k] >= 1; due[k]--)
-				submit(&s, &kinds[k]);
+		s.now += STEP_NS) {
+		for (size_t k = 0; k < ARRAY_LEN(job_kinds); k++) {
+			double accelerators_per_task =
+				job_kinds[k].any_size ? ANY_SIZE_MEAN : 1;
+			double jobs_per_s = load * job_kinds[k].share * workers *
+					    ACCELERATORS_PER_WORKER /
+					    (job_kinds[k].tasks * job_kinds[k].seconds *
+						    accelerators_per_task);
+
+			jobs_due[k] += jobs_per_s * (double)STEP_NS / (double)NSEC_PER_SEC;
+			for (; jobs_due[k] >= 1; jobs_due[k]--)
+				submit(&s, &job_kinds[k]);
 		}
 		for (guint i = 0; i < s.nodes->len; i++) {
 			struct sim_node *n = s.nodes->pdata[i];
 
-			work(&s, n);
-			if (n->changed || s.now >= n->next_report)
+			end_due_runs(&s, n);
+			if (n->report_due || s.now >= n->next_report)
 				report(&s, n);
 		}
-		store(&s);
-		if (wl_pass_needed(s.wl) || s.now % (100 * NSEC_PER_MSEC) == 0) {
-			double t = cpu_now();
+		complete_store_writes(&s);
+		if (wl_pass_needed(s.wl) || s.now % PASS_INTERVAL_NS == 0) {
+			double t = cpu_time_s();
 
 			wl_pass(s.wl, s.now, s.now);
-			t = cpu_now() - t;
-			pass_cpu += t;
-			worst = MAX(worst, t);
+			t = cpu_time_s() - t;
+			pass_cpu_s += t;
+			pass_cpu_max_s = MAX(pass_cpu_max_s, t);
 			passes++;
 		}
-		store(&s);
+		complete_store_writes(&s);
 	}
 	printf("workload what=workload_cpu n=%u load=%.1f value=%.2f unit=percent_of_core\n",
-		workers, load, 100 * (cpu_now() - begin) / seconds);
+		workers, load, 100 * (cpu_time_s() - cpu_begin_s) / seconds);
 	printf("workload what=workload_pass n=%u load=%.1f value=%.3f unit=ms\n", workers, load,
-		1000 * pass_cpu / passes);
+		1000 * pass_cpu_s / passes);
 	printf("workload what=workload_pass_worst n=%u load=%.1f value=%.2f unit=ms\n", workers,
-		load, 1000 * worst);
+		load, 1000 * pass_cpu_max_s);
 	printf("# jobs=%u starts=%u stops=%u done=%u passes_a_second=%.1f\n", s.jobs, s.starts,
 		s.stops, s.done, passes / seconds);
 	return 0;
