--- a/packages/transport/http-server.c
+++ b/packages/transport/http-server.c
@@ -324,7 +324,7 @@
 	bool not_run, uint32_t retry_after_s, const char *extra_json)
 {
 	static const char *const retry_names[] = {"never", "after_change", "later"};
-	const struct error_answer *a = error_answer(kind);
+	const struct error_info *a = error_info(kind);
 	GString *out = g_string_new(NULL);
 
 	g_string_append_printf(out,
@@ -351,7 +351,7 @@
 void http_reply_problem(struct http_request *r, enum error_kind kind, const char *detail,
 	const char *extra_json)
 {
-	const struct error_answer *a = error_answer(kind);
+	const struct error_info *a = error_info(kind);
 
 	http_reply_outcome(r, kind, detail, a->not_run, (uint32_t)a->retry_after_s, extra_json);
 }
