--- a/tests/property/prop-workload.cc
+++ b/tests/property/prop-workload.cc
@@ -14,61 +14,66 @@
 #include <vector>
 
 /*
- * The workload core, unchanged, over fake workers, links and a fake store that random events
- * drive: links are cut with what is in them, workers crash and come back as another life or
- * go for good, answers to starts are lost, the store is down, coordinators die or are replaced
- * while they go on. The workers judge: no task runs twice at once, none after a done end was
- * stored, none over a worker's capacity, none before its turn; and all is done in the end.
+ * Model test of the workload core: it runs unmodified against simulated workers, connections
+ * and a simulated store under random faults. Connections break and lose the messages in
+ * transit, workers restart under a new life, starts are refused or their answers lost, the
+ * store is unavailable, and coordinators crash or keep running after they were replaced.
+ *
+ * The workers check that no task runs twice at once, exceeds the capacity of a worker, starts
+ * before the steps it depends on, or starts after its successful end was stored. Once the
+ * faults stop, every job must end.
  */
 
 static const int64_t MS = NSEC_PER_MSEC;
 static const int64_t SEC = NSEC_PER_SEC;
 static const int64_t TICK = 50 * MS;
-static const int64_t AUTHORITY = 4 * SEC;
-static const int64_t HOLD = 6 * SEC;
-static const int WORKERS = 5;
+/* How long a confirmed coordinator lets agents start tasks, and workers run without renewal. */
+static const int64_t AUTHORITY_PERIOD = 4 * SEC;
+static const int64_t WORKER_LEASE = 6 * SEC;
+static const int WORKER_COUNT = 5;
+static const int WORKER_ACCELERATORS = 8;
 
 namespace
 {
 
-struct world;
+struct simulation;
 
-struct run {
+struct task_run {
 	uint32_t attempt;
-	int64_t left;
+	int64_t remaining;
 	bool stopping;
 	int64_t stop_at;
 	const wl_step *step;
 };
 
-struct ended {
+struct task_end {
 	uint64_t number;
 	std::string task;
 	uint32_t attempt;
 	uint32_t how;
 };
 
-/* A worker with its agent, which keeps nothing that the worker does not have. */
+/* A worker and its agent. The agent keeps no task state of its own. */
 struct worker {
 	std::string name;
 	int life = 1;
 	bool up = true;
-	uint64_t fence = 0;
-	std::map<std::string, run> runs;
-	std::map<std::string, uint32_t> highest;
-	std::vector<ended> ends;
-	uint64_t next_end = 1;
-	int64_t lease = 0;
-	/* The agent. */
-	int follows = -1;
+	uint64_t fencing_term = 0;
+	std::map<std::string, task_run> runs;
+	std::map<std::string, uint32_t> highest_attempt;
+	std::vector<task_end> ends;
+	uint64_t next_end_number = 1;
+	int64_t lease_until = 0;
+	/* State of the agent. */
+	int coordinator_index = -1;
 	uint64_t term = 0;
-	int64_t authority = 0;
-	uint64_t stored = 0;
+	int64_t authority_until = 0;
+	uint64_t stored_end_number = 0;
 	uint64_t last_ordinal = 0;
-	int64_t cut_until = 0;
-	/* Bytes were lost: the connection is as good as broken. */
-	bool lost = false;
-	int64_t next_report = 0;
+	int64_t disconnected_until = 0;
+	/* A message was lost: nothing is delivered until the agent reconnects. */
+	bool connection_broken = false;
+	int64_t next_report_at = 0;
 	std::deque<bytes> inbox;
 
 	std::string life_name() const
@@ -77,24 +82,24 @@
 	}
 };
 
-struct record {
+struct stored_job {
 	bytes spec{};
 	bytes progress{};
 	bool cancelled = false;
 };
 
-/* One coordinator; a replaced one may go on for a while. */
+/* A coordinator. It may keep running for a while after it was replaced. */
 struct coordinator {
-	world *w = nullptr;
+	simulation *sim = nullptr;
 	int index = 0;
 	wl *core = nullptr;
 	uint64_t term = 0;
 	bool dead = false;
 	std::set<std::string> dirty;
-	std::map<std::string, int64_t> heard;
-	std::set<std::string> known;
-	std::set<std::string> roster_wanted;
-	int64_t confirmed = 0;
+	std::map<std::string, int64_t> last_report_at;
+	std::set<std::string> loaded;
+	std::set<std::string> roster_pending;
+	int64_t confirmed_at = 0;
 
 	~coordinator()
 	{
@@ -102,25 +107,25 @@
 	}
 };
 
-struct world {
+struct simulation {
 	std::mt19937 rng;
 	int64_t now = 100 * SEC;
 	std::vector<worker> workers;
-	std::map<std::string, record> store;
+	std::map<std::string, stored_job> store;
 	std::set<std::string> roster;
 	uint64_t term = 0;
 	int64_t store_down_until = 0;
 	std::vector<std::unique_ptr<coordinator>> coordinators;
 	wl_config *config = nullptr;
-	std::set<std::string> done_stored;
-	std::map<std::string, std::set<std::string>> done_of_step;
-	std::vector<std::string> faults;
-	int trouble = 1;
+	std::set<std::string> stored_done;
+	std::map<std::string, std::set<std::string>> done_by_step;
+	std::vector<std::string> violations;
+	int faults_enabled = 1;
 
-	explicit world(uint32_t seed) : rng(seed)
+	explicit simulation(uint32_t seed) : rng(seed)
 	{
 	}
-	~world()
+	~simulation()
 	{
 		for (auto &r : store) {
 			bytes_clear(&r.second.spec);
@@ -128,23 +133,23 @@
 		}
 		wl_config_free(config);
 	}
-	uint32_t pick(uint32_t n)
+	uint32_t random_below(uint32_t n)
 	{
 		return rng() % n;
 	}
-	bool chance(uint32_t one_in)
+	bool fault_chance(uint32_t one_in)
 	{
-		return trouble > 0 && rng() % one_in == 0;
+		return faults_enabled > 0 && rng() % one_in == 0;
 	}
-	void fault(const std::string &what)
+	void violation(const std::string &what)
 	{
-		faults.push_back(std::to_string(now / MS) + ": " + what);
+		violations.push_back(std::to_string(now / MS) + ": " + what);
 	}
-	worker *find(const std::string &name)
+	worker *find_worker(const std::string &name)
 	{
-		for (auto &w : workers) {
-			if (w.name == name)
-				return &w;
+		for (auto &k : workers) {
+			if (k.name == name)
+				return &k;
 		}
 		return nullptr;
 	}
@@ -152,42 +157,42 @@
 	{
 		return now >= store_down_until;
 	}
-	coordinator *lead()
+	coordinator *leader()
 	{
-		return coordinators.empty() || coordinators.back()->dead ? nullptr
-									  : coordinators.back().get();
+		return coordinators.empty() || coordinators.back()->dead
+			       ? nullptr
+			       : coordinators.back().get();
 	}
 };
 
-/* Job, step and index of a task's name. */
-static std::string step_of(const std::string &task)
+/* Strips the member index from a task name. */
+static std::string step_name(const std::string &task)
 {
 	return task.substr(0, task.rfind('.'));
 }
 
-static wl_spec *spec_of(world *w, const std::string &task)
+static wl_spec *stored_spec(simulation *sim, const std::string &task)
 {
 	static wl_spec spec;
 
 	fields_clear(&wl_spec_fields, &spec);
-	auto it = w->store.find(task.substr(0, 16));
-	if (it == w->store.end() ||
-		!fields_decode(&wl_spec_fields, &spec, it->second.spec.data, it->second.spec.len,
-			NULL))
+	auto it = sim->store.find(task.substr(0, 16));
+	if (it == sim->store.end() || !fields_decode(&wl_spec_fields, &spec,
+					      it->second.spec.data, it->second.spec.len, NULL))
 		return nullptr;
 	return &spec;
 }
 
-static void worker_end(worker &k, const std::string &task, uint32_t how)
+static void end_run(worker &k, const std::string &task, uint32_t how)
 {
-	const run &r = k.runs[task];
+	const task_run &r = k.runs[task];
 
-	k.ends.push_back({k.next_end++, task, r.attempt, how});
-	k.highest[task] = std::max(k.highest[task], r.attempt);
+	k.ends.push_back({k.next_end_number++, task, r.attempt, how});
+	k.highest_attempt[task] = std::max(k.highest_attempt[task], r.attempt);
 	k.runs.erase(task);
 }
 
-static int used(const worker &k)
+static int used_accelerators(const worker &k)
 {
 	int sum = 0;
 
@@ -196,99 +201,102 @@
 	return sum;
 }
 
-/* A worker is told to start; returns what it answers. */
-static uint32_t worker_start(world *w, worker &k, const std::string &task, uint32_t attempt,
-	uint64_t term)
+/* Handles a start on a worker, checks the invariants and returns the answer. */
+static uint32_t start_task(
+	simulation *sim, worker &k, const std::string &task, uint32_t attempt, uint64_t term)
 {
 	static std::map<std::string, wl_step *> steps;
-	wl_spec *spec = spec_of(w, task);
+	wl_spec *spec = stored_spec(sim, task);
 	unsigned occurrence = 0, step = 0, index = 0;
 
-	if (term < k.fence)
+	if (term < k.fencing_term)
 		return WL_ANSWER_REFUSED_OTHER;
-	k.fence = term;
+	k.fencing_term = term;
 	if (k.runs.count(task) && k.runs[task].attempt == attempt)
 		return WL_ANSWER_RUNNING;
-	if (attempt <= k.highest[task])
+	if (attempt <= k.highest_attempt[task])
 		return WL_ANSWER_REFUSED_OLD;
 	if (spec == nullptr) {
-		w->fault("start of an unknown task " + task);
+		sim->violation("start of unknown task " + task);
 		return WL_ANSWER_REFUSED_OTHER;
 	}
 	sscanf(task.c_str() + 17, "%u.%u.%u", &occurrence, &step, &index);
-	for (auto &o : w->workers) {
+	for (auto &o : sim->workers) {
 		if (o.up && o.runs.count(task))
-			w->fault("second run of " + task + " on " + k.name + ", also on " + o.name);
+			sim->violation("second run of " + task + " on " + k.name +
+				       ", also on " + o.name);
 	}
-	if (w->done_stored.count(task) || (spec->steps[step].gang && w->done_stored.count(step_of(task))))
-		w->fault("start of " + task + " after its end was stored");
+	if (sim->stored_done.count(task) ||
+		(spec->steps[step].gang && sim->stored_done.count(step_name(task))))
+		sim->violation("start of " + task + " after its end was stored");
 	for (uint32_t i = 0; i < spec->steps[step].after_len; i++) {
 		uint32_t before = spec->steps[step].after[i].step;
 		std::string name = task.substr(0, 17) + std::to_string(occurrence) + "." +
 				   std::to_string(before);
-		size_t need = spec->steps[before].gang ? 1 : spec->steps[before].count;
-
-		if (w->done_of_step[name].size() < need)
-			w->fault("start of " + task + " before its turn");
-	}
-	/* The steps must outlive the decoded copy. */
-	static std::vector<std::unique_ptr<wl_step>> kept;
-	kept.emplace_back(new wl_step(spec->steps[step]));
-	kept.back()->after = nullptr;
-	k.runs[task] = run{attempt, (int64_t)spec->steps[step].estimate_ms * MS, false, 0,
-		kept.back().get()};
-	if (used(k) > 8)
-		w->fault("worker " + k.name + " over its capacity by " + task);
+		size_t required = spec->steps[before].gang ? 1 : spec->steps[before].count;
+
+		if (sim->done_by_step[name].size() < required)
+			sim->violation(
+				"start of " + task + " before its dependencies were done");
+	}
+	/* The run refers to its step, and the next call reuses the decoded spec. */
+	static std::vector<std::unique_ptr<wl_step>> step_copies;
+	step_copies.emplace_back(new wl_step(spec->steps[step]));
+	step_copies.back()->after = nullptr;
+	k.runs[task] = task_run{attempt, (int64_t)spec->steps[step].estimate_ms * MS, false, 0,
+		step_copies.back().get()};
+	if (used_accelerators(k) > WORKER_ACCELERATORS)
+		sim->violation("worker " + k.name + " exceeds its capacity with " + task);
 	return WL_ANSWER_RUNNING;
 }
 
-static void to_agent(coordinator *c, const char *node, wl_msg m)
+static void send_to_agent(coordinator *c, const char *node, wl_msg m)
 {
-	worker *k = c->w->find(node);
+	worker *k = c->sim->find_worker(node);
 
-	if (k == nullptr || k->follows != c->index)
+	if (k == nullptr || k->coordinator_index != c->index)
 		return;
-	if (c->w->now >= k->cut_until && !k->lost)
+	if (c->sim->now >= k->disconnected_until && !k->connection_broken)
 		k->inbox.push_back(wl_msg_encode(&m));
 	else
-		k->lost = true;
+		k->connection_broken = true;
 }
 
-static void out_start(void *arg, const char *node, const wl_start_order *o)
+static void send_start(void *arg, const char *node, const wl_start_order *o)
 {
 	wl_msg m{};
 	m.kind = WL_MSG_START;
 	m.start = *o;
-	to_agent((coordinator *)arg, node, m);
+	send_to_agent((coordinator *)arg, node, m);
 }
-static void out_stop(void *arg, const char *node, const wl_stop_order *o)
+static void send_stop(void *arg, const char *node, const wl_stop_order *o)
 {
 	wl_msg m{};
 	m.kind = WL_MSG_STOP;
 	m.stop = *o;
-	to_agent((coordinator *)arg, node, m);
+	send_to_agent((coordinator *)arg, node, m);
 }
-static void out_pace(void *, const char *, const wl_pace_order *)
+static void ignore_pace(void *, const char *, const wl_pace_order *)
 {
 }
-static void out_dirty(void *arg, const char *id)
+static void mark_dirty(void *arg, const char *id)
 {
 	((coordinator *)arg)->dirty.insert(id);
 }
 
-/* The store's side of a coordinator: records are written while the term stands. */
-static void write_records(world *w, coordinator *c)
+/* Writes the dirty jobs and the roster, unless a newer term has fenced the coordinator off. */
+static void persist_jobs(simulation *sim, coordinator *c)
 {
-	if (!w->store_up())
+	if (!sim->store_up())
 		return;
-	if (w->term != c->term) {
+	if (sim->term != c->term) {
 		c->dead = true;
 		return;
 	}
-	c->confirmed = w->now;
-	for (auto &n : c->roster_wanted)
-		w->roster.insert(n);
-	c->roster_wanted.clear();
+	c->confirmed_at = sim->now;
+	for (auto &n : c->roster_pending)
+		sim->roster.insert(n);
+	c->roster_pending.clear();
 	std::set<std::string> batch;
 	batch.swap(c->dirty);
 	for (auto &id : batch) {
@@ -296,8 +304,8 @@
 		bytes b = wl_job_progress(c->core, id.c_str(), &version);
 		wl_progress p{};
 
-		bytes_clear(&w->store[id].progress);
-		w->store[id].progress = b;
+		bytes_clear(&sim->store[id].progress);
+		sim->store[id].progress = b;
 		fields_decode(&wl_progress_fields, &p, b.data, b.len, NULL);
 		for (uint32_t i = 0; i < p.marks_len; i++) {
 			const wl_mark &m = p.marks[i];
@@ -307,104 +315,108 @@
 			if (m.done && m.index != WL_INDEX_GANG)
 				name += "." + std::to_string(m.index);
 			if (m.done)
-				w->done_stored.insert(name);
+				sim->stored_done.insert(name);
 		}
 		fields_clear(&wl_progress_fields, &p);
-		/* The answer may be lost: the record stands, and is written again. */
-		if (w->chance(6))
+		/* A lost store reply: the write took effect and is repeated. */
+		if (sim->fault_chance(6))
 			c->dirty.insert(id);
 		else
-			wl_job_stored(c->core, w->now, id.c_str(), version);
+			wl_job_stored(c->core, sim->now, id.c_str(), version);
 	}
 }
 
-/* A new coordinator: the next term, the roster, the records. */
-static void elect(world *w)
+/* Starts a coordinator with the next term and the stored roster. */
+static void start_coordinator(simulation *sim)
 {
 	wl_limits limits{};
 	wl_callbacks out{};
 	auto c = std::make_unique<coordinator>();
 
-	if (!w->store_up())
+	if (!sim->store_up())
 		return;
 	limits.stop_max = 500 * MS;
 	limits.gang_wait = 3 * SEC;
 	limits.remote_penalty = 3;
 	limits.reclaim_max = 3 * SEC;
 	limits.restore = 500 * MS;
-	limits.silence_max = AUTHORITY + HOLD + 500 * MS;
+	limits.silence_max = AUTHORITY_PERIOD + WORKER_LEASE + 500 * MS;
 	limits.retention = 1000 * SEC;
-	c->w = w;
-	c->index = (int)w->coordinators.size();
-	c->term = ++w->term;
-	c->confirmed = w->now;
-	out.start = out_start;
-	out.stop = out_stop;
-	out.pace = out_pace;
-	out.dirty = out_dirty;
+	c->sim = sim;
+	c->index = (int)sim->coordinators.size();
+	c->term = ++sim->term;
+	c->confirmed_at = sim->now;
+	out.start = send_start;
+	out.stop = send_stop;
+	out.pace = ignore_pace;
+	out.dirty = mark_dirty;
 	out.arg = c.get();
 	c->core = wl_new(c->term, &limits, &out);
-	wl_set_config(c->core, w->config);
-	for (auto &n : w->roster)
-		wl_node_await_report(c->core, w->now, n.c_str());
-	w->coordinators.push_back(std::move(c));
+	wl_set_config(c->core, sim->config);
+	for (auto &n : sim->roster)
+		wl_node_await_report(c->core, sim->now, n.c_str());
+	sim->coordinators.push_back(std::move(c));
 }
 
-/* Let a coordinator see what the store has that it has not read. */
-static void read_jobs(world *w, coordinator *c)
+/* Loads the jobs that the coordinator has not read yet, and all cancellations. */
+static void load_jobs(simulation *sim, coordinator *c)
 {
-	for (auto &r : w->store) {
-		if (!c->known.count(r.first)) {
+	for (auto &r : sim->store) {
+		if (!c->loaded.count(r.first)) {
 			wl_spec spec{};
 			wl_progress p{};
-			bool has = r.second.progress.data != nullptr;
+			bool has_progress = r.second.progress.data != nullptr;
 
-			fields_decode(&wl_spec_fields, &spec, r.second.spec.data, r.second.spec.len,
-				NULL);
-			if (has)
+			fields_decode(&wl_spec_fields, &spec, r.second.spec.data,
+				r.second.spec.len, NULL);
+			if (has_progress)
 				fields_decode(&wl_progress_fields, &p, r.second.progress.data,
 					r.second.progress.len, NULL);
-			wl_job_add(c->core, w->now, w->now, &spec, has ? &p : NULL);
+			wl_job_add(
+				c->core, sim->now, sim->now, &spec, has_progress ? &p : NULL);
 			fields_clear(&wl_spec_fields, &spec);
 			fields_clear(&wl_progress_fields, &p);
-			c->known.insert(r.first);
+			c->loaded.insert(r.first);
 		}
 		if (r.second.cancelled)
-			wl_job_cancel(c->core, w->now, w->now, r.first.c_str());
+			wl_job_cancel(c->core, sim->now, sim->now, r.first.c_str());
 	}
 }
 
-/* The agent of a worker reports, and gets authority with the answer. */
-static void report(world *w, worker &k)
+/* Sends a report of the worker; the reply renews the authority of its agent. */
+static void send_report(simulation *sim, worker &k)
 {
-	coordinator *c = k.follows >= 0 ? w->coordinators[(size_t)k.follows].get() : nullptr;
+	coordinator *c = k.coordinator_index >= 0
+				 ? sim->coordinators[(size_t)k.coordinator_index].get()
+				 : nullptr;
 	std::vector<wl_run> runs;
 	std::vector<wl_ended> ends;
 	wl_report r{};
 	std::string life = k.life_name();
 	std::string rack = "r" + std::to_string(k.name.back() % 2);
 
-	if (c == nullptr || c->dead || !k.up || w->now < k.cut_until || k.term != c->term)
+	if (c == nullptr || c->dead || !k.up || sim->now < k.disconnected_until ||
+		k.term != c->term)
 		return;
-	k.fence = std::max(k.fence, k.term);
+	k.fencing_term = std::max(k.fencing_term, k.term);
 	for (size_t i = k.ends.size(); i > 0; i--) {
-		if (k.ends[i - 1].number <= k.stored)
+		if (k.ends[i - 1].number <= k.stored_end_number)
 			k.ends.erase(k.ends.begin() + (long)i - 1);
 	}
 	for (auto &e : k.runs) {
-		wl_run one{};
-		one.task = (char *)e.first.c_str();
-		one.attempt = e.second.attempt;
-		one.percent = (uint32_t)(w->now / TICK % 100);
-		runs.push_back(one);
+		wl_run entry{};
+		entry.task = (char *)e.first.c_str();
+		entry.attempt = e.second.attempt;
+		entry.percent = (uint32_t)(sim->now / TICK % 100);
+		runs.push_back(entry);
 	}
 	for (auto &e : k.ends) {
-		wl_ended one{};
-		one.number = e.number;
-		one.task = (char *)e.task.c_str();
-		one.attempt = e.attempt;
-		one.how = e.how;
-		ends.push_back(one);
+		wl_ended entry{};
+		entry.number = e.number;
+		entry.task = (char *)e.task.c_str();
+		entry.attempt = e.attempt;
+		entry.how = e.how;
+		ends.push_back(entry);
 	}
 	r.term = k.term;
 	r.node = (char *)k.name.c_str();
@@ -413,28 +425,31 @@
 	r.rack = (char *)rack.c_str();
 	r.cores_m = 32000;
 	r.memory_mb = 64000;
-	r.accelerators = 8;
+	r.accelerators = WORKER_ACCELERATORS;
 	r.covers = k.last_ordinal;
 	r.runs = runs.data();
 	r.runs_len = (uint32_t)runs.size();
 	r.ends = ends.data();
 	r.ends_len = (uint32_t)ends.size();
-	k.authority = c->confirmed + AUTHORITY;
-	c->heard[k.name] = w->now;
-	if (w->roster.count(k.name))
-		wl_node_report(c->core, w->now, w->now, &r);
+	k.authority_until = c->confirmed_at + AUTHORITY_PERIOD;
+	c->last_report_at[k.name] = sim->now;
+	if (sim->roster.count(k.name))
+		wl_node_report(c->core, sim->now, sim->now, &r);
 	else
-		c->roster_wanted.insert(k.name);
-	const char *which;
+		c->roster_pending.insert(k.name);
+	const char *stored_life;
 	uint64_t number;
-	if (wl_node_ends_stored(c->core, k.name.c_str(), &which, &number) && life == which)
-		k.stored = std::max(k.stored, number);
+	if (wl_node_ends_stored(c->core, k.name.c_str(), &stored_life, &number) &&
+		life == stored_life)
+		k.stored_end_number = std::max(k.stored_end_number, number);
 }
 
-/* The agent carries out the orders that have come. */
-static void deliver(world *w, worker &k)
+/* Delivers the queued orders to the agent of a worker. */
+static void deliver_orders(simulation *sim, worker &k)
 {
-	coordinator *c = k.follows >= 0 ? w->coordinators[(size_t)k.follows].get() : nullptr;
+	coordinator *c = k.coordinator_index >= 0
+				 ? sim->coordinators[(size_t)k.coordinator_index].get()
+				 : nullptr;
 
 	while (!k.inbox.empty()) {
 		bytes b = k.inbox.front();
@@ -443,7 +458,7 @@
 		k.inbox.pop_front();
 		wl_msg_decode(&m, b.data, b.len, NULL);
 		bytes_clear(&b);
-		bool ours = k.up && m.start.term == k.term;
+		bool term_matches = k.up && m.start.term == k.term;
 		if (m.kind == WL_MSG_START) {
 			for (uint32_t i = 0; i < m.start.starts_len; i++) {
 				const wl_start &s = m.start.starts[i];
@@ -451,30 +466,32 @@
 				uint32_t answer = WL_ANSWER_REFUSED_OTHER;
 
 				k.last_ordinal = std::max(k.last_ordinal, s.ordinal);
-				if (ours && w->now < k.authority && k.life_name() == m.start.life &&
-					!w->chance(12))
-					answer = worker_start(w, k, s.task, s.attempt, k.term);
+				if (term_matches && sim->now < k.authority_until &&
+					k.life_name() == m.start.life && !sim->fault_chance(12))
+					answer = start_task(sim, k, s.task, s.attempt, k.term);
 				note.term = m.start.term;
 				note.life = m.start.life;
 				note.ordinal = s.ordinal;
 				note.task = s.task;
 				note.attempt = s.attempt;
 				note.answer = answer;
-				if (c != nullptr && !c->dead && w->now >= k.cut_until)
-					wl_node_answer(c->core, w->now, &note);
+				if (c != nullptr && !c->dead &&
+					sim->now >= k.disconnected_until)
+					wl_node_answer(c->core, sim->now, &note);
 			}
-		} else if (m.kind == WL_MSG_STOP && ours && k.life_name() == m.stop.life &&
-			   k.term >= k.fence) {
+		} else if (m.kind == WL_MSG_STOP && term_matches &&
+			   k.life_name() == m.stop.life && k.term >= k.fencing_term) {
 			auto it = k.runs.find(m.stop.task);
 
 			if (it != k.runs.end() && it->second.attempt <= m.stop.attempt &&
 				!it->second.stopping) {
 				it->second.stopping = true;
-				it->second.stop_at = w->now + 400 * MS;
+				it->second.stop_at = sim->now + 400 * MS;
 			}
-			k.highest[m.stop.task] = std::max(k.highest[m.stop.task], m.stop.attempt);
+			k.highest_attempt[m.stop.task] =
+				std::max(k.highest_attempt[m.stop.task], m.stop.attempt);
 			if (m.stop.ordinal != 0 && !k.runs.count(m.stop.task) && c != nullptr &&
-				!c->dead && w->now >= k.cut_until) {
+				!c->dead && sim->now >= k.disconnected_until) {
 				wl_answer_note note{};
 
 				note.term = m.stop.term;
@@ -483,136 +500,141 @@
 				note.task = m.stop.task;
 				note.attempt = m.stop.attempt;
 				note.answer = WL_ANSWER_REFUSED_OTHER;
-				wl_node_answer(c->core, w->now, &note);
+				wl_node_answer(c->core, sim->now, &note);
 			}
 		}
 		wl_msg_clear(&m);
 	}
 }
 
-/* Whether all members of a run's gang are there. */
-static bool gang_whole(world *w, const std::string &task, const run &r)
+/* Whether all members of the gang run with the same attempt. */
+static bool gang_complete(simulation *sim, const std::string &task, const task_run &r)
 {
 	uint32_t members = 0;
 
 	if (!r.step->gang)
 		return true;
-	for (auto &k : w->workers) {
+	for (auto &k : sim->workers) {
 		for (auto &e : k.runs)
-			members += k.up && step_of(e.first) == step_of(task) &&
+			members += k.up && step_name(e.first) == step_name(task) &&
 				   e.second.attempt == r.attempt;
 	}
 	return members == r.step->count;
 }
 
-/* Time passes on a worker. */
-static void work(world *w, worker &k)
+/* Advances the runs on a worker by one tick. A gang only progresses while it is complete. */
+static void advance_runs(simulation *sim, worker &k)
 {
 	std::vector<std::string> names;
 
 	if (!k.up)
 		return;
-	if (w->now < k.authority)
-		k.lease = w->now + HOLD;
+	if (sim->now < k.authority_until)
+		k.lease_until = sim->now + WORKER_LEASE;
 	for (auto &e : k.runs)
 		names.push_back(e.first);
 	for (auto &n : names) {
 		if (!k.runs.count(n))
 			continue;
-		run &r = k.runs[n];
-
-		if (w->now >= k.lease) {
-			worker_end(k, n, WL_END_LAPSED);
-		} else if (r.stopping && w->now >= r.stop_at) {
-			worker_end(k, n, WL_END_STOPPED);
-		} else if (!r.stopping && gang_whole(w, n, r)) {
-			r.left -= TICK;
-			if (r.left > 0)
+		task_run &r = k.runs[n];
+
+		if (sim->now >= k.lease_until) {
+			end_run(k, n, WL_END_LAPSED);
+		} else if (r.stopping && sim->now >= r.stop_at) {
+			end_run(k, n, WL_END_STOPPED);
+		} else if (!r.stopping && gang_complete(sim, n, r)) {
+			r.remaining -= TICK;
+			if (r.remaining > 0)
 				continue;
-			if (w->chance(15)) {
-				worker_end(k, n, WL_END_FAILED);
+			if (sim->fault_chance(15)) {
+				end_run(k, n, WL_END_FAILED);
 				continue;
 			}
-			w->done_of_step[step_of(n)].insert(r.step->gang ? "gang" : n);
+			sim->done_by_step[step_name(n)].insert(r.step->gang ? "gang" : n);
 			bool gang = r.step->gang;
 			uint32_t attempt = r.attempt;
-			worker_end(k, n, WL_END_DONE);
-			for (auto &o : w->workers) {
-				std::vector<std::string> rest;
+			end_run(k, n, WL_END_DONE);
+			for (auto &o : sim->workers) {
+				std::vector<std::string> members;
 
 				for (auto &e : o.runs) {
-					if (gang && step_of(e.first) == step_of(n) &&
+					if (gang && step_name(e.first) == step_name(n) &&
 						e.second.attempt == attempt)
-						rest.push_back(e.first);
+						members.push_back(e.first);
 				}
-				for (auto &m : rest)
-					worker_end(o, m, WL_END_DONE);
+				for (auto &m : members)
+					end_run(o, m, WL_END_DONE);
 			}
 		}
 	}
 }
 
-static void crash(world *w, worker &k, int64_t dark)
+static void restart_worker(simulation *sim, worker &k, int64_t downtime)
 {
 	k.runs.clear();
 	k.ends.clear();
-	k.highest.clear();
-	k.next_end = 1;
-	k.stored = 0;
-	k.fence = 0;
+	k.highest_attempt.clear();
+	k.next_end_number = 1;
+	k.stored_end_number = 0;
+	k.fencing_term = 0;
 	k.life++;
-	k.cut_until = w->now + dark;
-	k.follows = -1;
+	k.disconnected_until = sim->now + downtime;
+	k.coordinator_index = -1;
 	for (auto &b : k.inbox)
 		bytes_clear(&b);
 	k.inbox.clear();
 }
 
-/* Agents find the coordinator; a stale one is left only when its term is old. */
-static void follow(world *w, worker &k)
+/*
+ * Connects an agent to the leader. An agent may stay with a replaced coordinator that still
+ * runs for some ticks.
+ */
+static void connect_agent(simulation *sim, worker &k)
 {
-	coordinator *l = w->lead();
+	coordinator *l = sim->leader();
 
-	if (l == nullptr || w->now < k.cut_until)
+	if (l == nullptr || sim->now < k.disconnected_until)
 		return;
-	if (k.follows == l->index) {
-		if (k.lost)
+	if (k.coordinator_index == l->index) {
+		if (k.connection_broken)
 			k.last_ordinal = wl_last_ordinal(l->core);
-		k.lost = false;
+		k.connection_broken = false;
 		return;
 	}
-	if (k.follows >= 0 && !w->coordinators[(size_t)k.follows]->dead && w->pick(20) != 0)
+	if (k.coordinator_index >= 0 && !sim->coordinators[(size_t)k.coordinator_index]->dead &&
+		sim->random_below(20) != 0)
 		return;
-	if (k.follows >= 0 && !w->coordinators[(size_t)k.follows]->dead)
-		wl_node_unreachable(w->coordinators[(size_t)k.follows]->core, w->now, k.name.c_str());
+	if (k.coordinator_index >= 0 && !sim->coordinators[(size_t)k.coordinator_index]->dead)
+		wl_node_unreachable(sim->coordinators[(size_t)k.coordinator_index]->core,
+			sim->now, k.name.c_str());
 	for (auto &b : k.inbox)
 		bytes_clear(&b);
 	k.inbox.clear();
-	k.lost = false;
-	k.follows = l->index;
+	k.connection_broken = false;
+	k.coordinator_index = l->index;
 	k.term = l->term;
 	k.last_ordinal = wl_last_ordinal(l->core);
 }
 
-static void trouble(world *w)
+static void inject_faults(simulation *sim)
 {
-	worker &k = w->workers[w->pick(WORKERS)];
-
-	if (w->chance(60))
-		k.cut_until = w->now + (int64_t)w->pick(160) * TICK;
-	if (w->chance(120))
-		crash(w, k, (int64_t)w->pick(60) * TICK);
-	if (w->chance(200))
-		w->store_down_until = w->now + (int64_t)w->pick(120) * TICK;
-	if (w->chance(150) && w->lead() != nullptr) {
-		/* Killed, or only replaced: then it goes on until the store tells it. */
-		if (w->pick(2) == 0)
-			w->lead()->dead = true;
-		elect(w);
+	worker &k = sim->workers[sim->random_below(WORKER_COUNT)];
+
+	if (sim->fault_chance(60))
+		k.disconnected_until = sim->now + (int64_t)sim->random_below(160) * TICK;
+	if (sim->fault_chance(120))
+		restart_worker(sim, k, (int64_t)sim->random_below(60) * TICK);
+	if (sim->fault_chance(200))
+		sim->store_down_until = sim->now + (int64_t)sim->random_below(120) * TICK;
+	if (sim->fault_chance(150) && sim->leader() != nullptr) {
+		/* A coordinator that is only replaced runs until the store rejects its term. */
+		if (sim->random_below(2) == 0)
+			sim->leader()->dead = true;
+		start_coordinator(sim);
 	}
 }
 
-static void submit(world *w, uint32_t number, bool wide)
+static void submit_job(simulation *sim, uint32_t number, bool many_members)
 {
 	char id[17];
 	wl_spec spec{};
@@ -621,25 +643,25 @@
 
 	snprintf(id, sizeof(id), "%016x", number + 1);
 	for (wl_step &s : steps) {
-		s.count = 1 + w->pick(wide ? 6 : 3);
-		s.accelerators = 1u << w->pick(4);
+		s.count = 1 + sim->random_below(many_members ? 6 : 3);
+		s.accelerators = 1u << sim->random_below(4);
 		s.cores_m = 1000;
 		s.memory_mb = 100;
-		s.estimate_ms = 200 + w->pick(3000);
-		s.gang = w->pick(3) == 0 && s.count * s.accelerators <= 24;
-		s.checkpoints = w->pick(2) == 0;
-		s.rack_local = w->pick(4) == 0;
+		s.estimate_ms = 200 + sim->random_below(3000);
+		s.gang = sim->random_below(3) == 0 && s.count * s.accelerators <= 24;
+		s.checkpoints = sim->random_below(2) == 0;
+		s.rack_local = sim->random_below(4) == 0;
 	}
 	steps[1].after = &first;
 	steps[1].after_len = 1;
 	spec.id = id;
-	spec.queue = (char *)(w->pick(2) ? "urgent" : "batch");
+	spec.queue = (char *)(sim->random_below(2) ? "urgent" : "batch");
 	spec.service = (char *)"s";
 	spec.org = (char *)"o";
 	spec.payload = (char *)"p";
 	spec.steps = steps;
-	spec.steps_len = 1 + w->pick(2);
-	w->store[id].spec = fields_encode(&wl_spec_fields, &spec);
+	spec.steps_len = 1 + sim->random_below(2);
+	sim->store[id].spec = fields_encode(&wl_spec_fields, &spec);
 }
 
 static wl_queue *queue_new(const char *name, uint32_t priority)
@@ -657,45 +679,45 @@
 	return q;
 }
 
-static void tick(world *w)
+static void advance(simulation *sim)
 {
-	w->now += TICK;
-	trouble(w);
-	if (w->lead() == nullptr)
-		elect(w);
-	for (auto &c : w->coordinators) {
+	sim->now += TICK;
+	inject_faults(sim);
+	if (sim->leader() == nullptr)
+		start_coordinator(sim);
+	for (auto &c : sim->coordinators) {
 		if (c->dead)
 			continue;
-		if (w->store_up() && w->term == c->term)
-			read_jobs(w, c.get());
-		for (auto &h : c->heard) {
-			if (w->now - h.second > 3 * SEC)
-				wl_node_unreachable(c->core, w->now, h.first.c_str());
+		if (sim->store_up() && sim->term == c->term)
+			load_jobs(sim, c.get());
+		for (auto &h : c->last_report_at) {
+			if (sim->now - h.second > 3 * SEC)
+				wl_node_unreachable(c->core, sim->now, h.first.c_str());
 		}
-		GPtrArray *gone = wl_nodes_expired(c->core, w->now);
-		for (guint i = 0; i < gone->len; i++) {
-			if (w->term == c->term)
-				w->roster.erase((char *)gone->pdata[i]);
+		GPtrArray *expired = wl_nodes_expired(c->core, sim->now);
+		for (guint i = 0; i < expired->len; i++) {
+			if (sim->term == c->term)
+				sim->roster.erase((char *)expired->pdata[i]);
 		}
-		g_ptr_array_unref(gone);
-		if (w->now - c->confirmed < 3 * SEC)
-			wl_pass(c->core, w->now, w->now);
-		write_records(w, c.get());
-	}
-	for (auto &k : w->workers) {
-		follow(w, k);
-		deliver(w, k);
-		work(w, k);
-		if (w->now >= k.next_report) {
-			k.next_report = w->now + (int64_t)w->pick(12) * TICK;
-			report(w, k);
+		g_ptr_array_unref(expired);
+		if (sim->now - c->confirmed_at < 3 * SEC)
+			wl_pass(c->core, sim->now, sim->now);
+		persist_jobs(sim, c.get());
+	}
+	for (auto &k : sim->workers) {
+		connect_agent(sim, k);
+		deliver_orders(sim, k);
+		advance_runs(sim, k);
+		if (sim->now >= k.next_report_at) {
+			k.next_report_at = sim->now + (int64_t)sim->random_below(12) * TICK;
+			send_report(sim, k);
 		}
 	}
 }
 
-static bool all_ended(world *w)
+static bool all_jobs_ended(simulation *sim)
 {
-	for (auto &r : w->store) {
+	for (auto &r : sim->store) {
 		wl_progress p{};
 
 		if (r.second.progress.data == nullptr)
@@ -710,12 +732,12 @@
 	return true;
 }
 
-/* What is left, for the report of a failure. */
-static std::string open_jobs(world *w)
+/* Lists the unfinished jobs and the runs of all workers for a failure message. */
+static std::string describe_unfinished(simulation *sim)
 {
 	std::string out;
 
-	for (auto &r : w->store) {
+	for (auto &r : sim->store) {
 		wl_progress p{};
 		wl_spec s{};
 
@@ -739,7 +761,7 @@
 		fields_clear(&wl_progress_fields, &p);
 		fields_clear(&wl_spec_fields, &s);
 	}
-	for (auto &k : w->workers) {
+	for (auto &k : sim->workers) {
 		out += k.name + ":";
 		for (auto &e : k.runs)
 			out += " " + e.first + "/" + std::to_string(e.second.attempt);
@@ -747,52 +769,54 @@
 	return out;
 }
 
-static void play(uint32_t seed)
+static void simulate(uint32_t seed)
 {
-	world w(seed);
+	simulation sim(seed);
 	wl_org *org = (wl_org *)xcalloc(1, sizeof(*org));
 
 	org->name = xstrdup("o");
 	org->keys = g_ptr_array_new_with_free_func(free);
 	org->guaranteed = 16;
-	w.config = wl_config_new();
-	wl_config_add_queue(w.config, queue_new("urgent", 0));
-	wl_config_add_queue(w.config, queue_new("batch", 2));
-	wl_config_add_org(w.config, org);
-	for (int i = 0; i < WORKERS; i++) {
-		w.workers.emplace_back();
-		w.workers.back().name = "w" + std::to_string(i);
+	sim.config = wl_config_new();
+	wl_config_add_queue(sim.config, queue_new("urgent", 0));
+	wl_config_add_queue(sim.config, queue_new("batch", 2));
+	wl_config_add_org(sim.config, org);
+	for (int i = 0; i < WORKER_COUNT; i++) {
+		sim.workers.emplace_back();
+		sim.workers.back().name = "w" + std::to_string(i);
 	}
 	uint32_t jobs = 0;
 	for (int t = 0; t < 800; t++) {
 		if (jobs < 14 && t % 30 == 0)
-			submit(&w, jobs++, w.pick(3) == 0);
-		if (w.chance(300) && jobs > 0)
-			std::next(w.store.begin(), w.pick((uint32_t)w.store.size()))
+			submit_job(&sim, jobs++, sim.random_below(3) == 0);
+		if (sim.fault_chance(300) && jobs > 0)
+			std::next(
+				sim.store.begin(), sim.random_below((uint32_t)sim.store.size()))
 				->second.cancelled = true;
-		tick(&w);
-	}
-	w.trouble = 0;
-	w.store_down_until = 0;
-	for (auto &k : w.workers)
-		k.cut_until = 0;
-	for (int t = 0; t < 3000 && !all_ended(&w); t++)
-		tick(&w);
-	if (!all_ended(&w))
-		w.fault("not all jobs have ended: " + open_jobs(&w));
-	for (auto &k : w.workers) {
+		advance(&sim);
+	}
+	sim.faults_enabled = 0;
+	sim.store_down_until = 0;
+	for (auto &k : sim.workers)
+		k.disconnected_until = 0;
+	for (int t = 0; t < 3000 && !all_jobs_ended(&sim); t++)
+		advance(&sim);
+	if (!all_jobs_ended(&sim))
+		sim.violation("unfinished jobs: " + describe_unfinished(&sim));
+	for (auto &k : sim.workers) {
 		for (auto &b : k.inbox)
 			bytes_clear(&b);
 	}
-	for (auto &f : w.faults)
+	for (auto &f : sim.violations)
 		RC_LOG() << f << "\n";
-	RC_ASSERT(w.faults.empty());
+	RC_ASSERT(sim.violations.empty());
 }
 
 } // namespace
 
 void prop_workload()
 {
-	prop("workload: no task runs twice, over capacity, before its turn or after its end",
-		[] { play(*rc::gen::inRange<uint32_t>(0, UINT32_MAX)); });
+	prop("workload: no task runs twice, over capacity, before its dependencies or after "
+	     "its end",
+		[] { simulate(*rc::gen::inRange<uint32_t>(0, UINT32_MAX)); });
 }
