--- a/tests/property/main.cc
+++ b/tests/property/main.cc
@@ -2,9 +2,9 @@
 
 #include <cstdlib>
 
-int prop_passed, prop_failed;
+int properties_passed, properties_failed;
 
-/* Runs all properties with a fixed seed, so that each run gives the same verdict. */
+/* Checks all properties. The default seed is fixed, so that runs are reproducible. */
 int main()
 {
 	setenv("RC_PARAMS", "seed=20261204 max_success=300 max_size=120", 0);
@@ -14,6 +14,6 @@
 	prop_sched();
 	prop_gang();
 	prop_workload();
-	printf("properties: %d passed, %d failed\n", prop_passed, prop_failed);
-	return prop_failed == 0 ? 0 : 1;
+	printf("properties: %d passed, %d failed\n", properties_passed, properties_failed);
+	return properties_failed == 0 ? 0 : 1;
 }
--- a/tests/property/prop.h
+++ b/tests/property/prop.h
@@ -8,15 +8,15 @@
 #include "sched.h"
 }
 
-/* Runs one property, counts it and prints its result. */
+/* Checks a property with random cases, prints the result and counts it for the exit status. */
 template <typename F> void prop(const char *name, F &&fn)
 {
-	extern int prop_passed, prop_failed;
+	extern int properties_passed, properties_failed;
 
 	if (rc::check(name, std::forward<F>(fn)))
-		prop_passed++;
+		properties_passed++;
 	else
-		prop_failed++;
+		properties_failed++;
 }
 
 void prop_sched();
