--- a/tests/unit/unit.h
+++ b/tests/unit/unit.h
@@ -3,6 +3,7 @@
 
 #include <CUnit/Basic.h>
 
+/* Each function adds the tests of one module to a suite. */
 void unit_base(CU_pSuite s);
 void unit_state(CU_pSuite s);
 void unit_agent(CU_pSuite s);
