--- a/tests/unit/test-base.c
+++ b/tests/unit/test-base.c
@@ -4,7 +4,7 @@
 
 #include <string.h>
 
-static void durations(void)
+static void durations_need_unit(void)
 {
 	int64_t ns = 0;
 
@@ -17,51 +17,57 @@
 	CU_ASSERT_FALSE(duration_parse("1 s", &ns));
 }
 
-/* Each kind of error has an answer, and its name leads back to it. */
-static void errors_complete(void)
+/*
+ * Each kind of error has an answer, and its name parses to the same kind. An error with an
+ * unknown outcome must not claim that the job has not run.
+ */
+static void errors_have_answers(void)
 {
 	for (int i = 0; i < ERR_COUNT; i++) {
 		const struct error_answer *a = error_answer((enum error_kind)i);
-		enum error_kind back = ERR_COUNT;
+		enum error_kind parsed = ERR_COUNT;
 
 		CU_ASSERT_PTR_NOT_NULL_FATAL(a->name);
 		CU_ASSERT(a->status >= 400 && a->status < 600);
 		CU_ASSERT(a->exit_code > 0);
-		CU_ASSERT(error_kind_parse(a->name, &back));
-		CU_ASSERT_EQUAL(back, (enum error_kind)i);
+		CU_ASSERT(error_kind_parse(a->name, &parsed));
+		CU_ASSERT_EQUAL(parsed, (enum error_kind)i);
 	}
 	CU_ASSERT_FALSE(error_answer(ERR_UNKNOWN_OUTCOME)->not_run);
 	CU_ASSERT_FALSE(error_answer(ERR_MEMBER_LOST)->not_run);
 	CU_ASSERT_FALSE(error_answer(ERR_STORE_UNSURE)->not_run);
 }
 
-/* A bad setting is refused with its name, its value and its rule. */
-static void settings_checked(void)
+/*
+ * The error for a value out of range names the setting and the value. An option of another role
+ * is rejected.
+ */
+static void invalid_settings_rejected(void)
 {
 	static const struct option_entry table[] = {
 		{"count", OPTION_NUMBER, "3", 1, 9, NULL, "a count"},
 		{"pause", OPTION_DURATION, "1s", 0, NSEC_PER_SEC, "agent", "a pause"},
 	};
-	char *good[] = {"agent", "--count=7", NULL};
-	char *bad[] = {"agent", "--count=70", NULL};
-	char *other[] = {"entry", "--pause=1s", NULL};
+	char *valid[] = {"agent", "--count=7", NULL};
+	char *out_of_range[] = {"agent", "--count=70", NULL};
+	char *other_role[] = {"entry", "--pause=1s", NULL};
 	g_autoptr(GError) err = NULL;
-	struct options *o = options_parse(table, 2, "agent", 2, good, &err);
+	struct options *o = options_parse(table, 2, "agent", 2, valid, &err);
 
 	CU_ASSERT_PTR_NOT_NULL_FATAL(o);
 	CU_ASSERT_EQUAL(options_number(o, "count"), 7);
 	CU_ASSERT_EQUAL(options_number(o, "pause"), NSEC_PER_SEC);
 	options_free(o);
-	CU_ASSERT_PTR_NULL(options_parse(table, 2, "agent", 2, bad, &err));
+	CU_ASSERT_PTR_NULL(options_parse(table, 2, "agent", 2, out_of_range, &err));
 	CU_ASSERT_PTR_NOT_NULL(strstr(err->message, "count"));
 	CU_ASSERT_PTR_NOT_NULL(strstr(err->message, "70"));
 	g_clear_error(&err);
-	CU_ASSERT_PTR_NULL(options_parse(table, 2, "entry", 2, other, &err));
+	CU_ASSERT_PTR_NULL(options_parse(table, 2, "entry", 2, other_role, &err));
 }
 
 void unit_base(CU_pSuite s)
 {
-	CU_add_test(s, "durations need a unit", durations);
-	CU_add_test(s, "every error has an answer", errors_complete);
-	CU_add_test(s, "settings are checked", settings_checked);
+	CU_add_test(s, "durations need a unit", durations_need_unit);
+	CU_add_test(s, "every error has an answer", errors_have_answers);
+	CU_add_test(s, "invalid settings are rejected", invalid_settings_rejected);
 }
