--- a/tests/unit/test-state.c
+++ b/tests/unit/test-state.c
@@ -5,18 +5,18 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Fails the n-th call of one kind, before or after it takes effect. */
-struct plan {
+/* Fails one store call of a kind, counted down, before or after it takes effect. */
+struct fault_plan {
 	const char *call;
-	int nth;
+	int countdown;
 	enum store_fault fault;
 };
 
-static enum store_fault run_plan(const char *call, void *arg)
+static enum store_fault inject_fault(const char *call, void *arg)
 {
-	struct plan *p = arg;
+	struct fault_plan *p = arg;
 
-	if (p->call == NULL || strcmp(p->call, call) != 0 || --p->nth != 0)
+	if (p->call == NULL || strcmp(p->call, call) != 0 || --p->countdown != 0)
 		return STORE_FAULT_NONE;
 	return p->fault;
 }
@@ -25,8 +25,8 @@
 	"cells: {c: {workers: 2, workers_per_rack: 2, accelerators: 8}}\n"
 	"classes: {now: {priority: 0}}\n";
 
-/* Put one section and tell how it went. */
-static enum error_kind put(struct store *s, const char *section, const char *text,
+/* Writes one section; returns the kind of error, or ERR_COUNT on success. */
+static enum error_kind put_section(struct store *s, const char *section, const char *text,
 	uint64_t base, uint64_t *number, bool *ok)
 {
 	struct doc_problems problems = STAILQ_HEAD_INITIALIZER(problems);
@@ -41,8 +41,8 @@
 	return *ok ? ERR_COUNT : error_kind_of(err);
 }
 
-/* Number of entries in the trail. */
-static size_t trail(struct store *s)
+/* Number of entries in the configuration history. */
+static size_t history_length(struct store *s)
 {
 	json_t *o = config_history(s, NULL);
 	size_t n = json_array_size(o);
@@ -51,54 +51,60 @@
 	return n;
 }
 
-/* An edit whose answer is lost is found by its token: accepted once, not twice. */
-static void edit_answer_lost(void)
+/* An edit whose store reply is lost is recognised by its token and applied only once. */
+static void edit_reply_lost(void)
 {
-	struct plan plan = {"txn", 2, STORE_FAULT_AFTER};
-	struct store *s = store_faulty_new(store_embedded_new(&clock_system), run_plan, &plan);
+	struct fault_plan plan = {"txn", 2, STORE_FAULT_AFTER};
+	struct store *s =
+		store_faulty_new(store_embedded_new(&clock_system), inject_fault, &plan);
 	uint64_t number = 0;
 	bool ok;
 
-	put(s, "cluster", cluster_text, 0, &number, &ok);
+	put_section(s, "cluster", cluster_text, 0, &number, &ok);
 	CU_ASSERT(ok);
-	put(s, "teams/a", "organisations: {o: {}}", 0, &number, &ok);
+	put_section(s, "teams/a", "organisations: {o: {}}", 0, &number, &ok);
 	CU_ASSERT(ok);
 	CU_ASSERT_EQUAL(number, 2);
-	CU_ASSERT_EQUAL(trail(s), 2);
+	CU_ASSERT_EQUAL(history_length(s), 2);
 	store_free(s);
 }
 
-/* A store that is down writes nothing, and the edit says so. */
+/* An edit fails with ERR_STORE_DOWN and writes nothing if the store is down. */
 static void edit_store_down(void)
 {
-	struct plan plan = {"txn", 1, STORE_FAULT_BEFORE};
-	struct store *s = store_faulty_new(store_embedded_new(&clock_system), run_plan, &plan);
+	struct fault_plan plan = {"txn", 1, STORE_FAULT_BEFORE};
+	struct store *s =
+		store_faulty_new(store_embedded_new(&clock_system), inject_fault, &plan);
 	uint64_t number = 0;
 	bool ok;
 
-	CU_ASSERT_EQUAL(put(s, "cluster", cluster_text, 0, &number, &ok), ERR_STORE_DOWN);
-	CU_ASSERT_EQUAL(trail(s), 0);
+	CU_ASSERT_EQUAL(
+		put_section(s, "cluster", cluster_text, 0, &number, &ok), ERR_STORE_DOWN);
+	CU_ASSERT_EQUAL(history_length(s), 0);
 	store_free(s);
 }
 
-/* Two edits from one version: the second is refused; edits of two sections both hold. */
-static void edits_race(void)
+/*
+ * The second of two edits of a section from the same version is rejected; edits of different
+ * sections do not conflict. An organisation cannot be declared in two sections.
+ */
+static void edits_conflict_per_section(void)
 {
 	struct store *s = store_embedded_new(&clock_system);
 	struct config_snapshot c = {0};
 	uint64_t number = 0;
 	bool ok;
 
-	put(s, "cluster", cluster_text, 0, &number, &ok);
-	put(s, "teams/a", "organisations: {o: {}}", 0, &number, &ok);
-	put(s, "teams/b", "organisations: {p: {}}", 0, &number, &ok);
+	put_section(s, "cluster", cluster_text, 0, &number, &ok);
+	put_section(s, "teams/a", "organisations: {o: {}}", 0, &number, &ok);
+	put_section(s, "teams/b", "organisations: {p: {}}", 0, &number, &ok);
 	CU_ASSERT(ok);
-	CU_ASSERT_EQUAL(
-		put(s, "teams/a", "organisations: {q: {}}", 0, &number, &ok), ERR_CONFLICT);
-	put(s, "teams/a", "organisations: {q: {}}", 2, &number, &ok);
+	CU_ASSERT_EQUAL(put_section(s, "teams/a", "organisations: {q: {}}", 0, &number, &ok),
+		ERR_CONFLICT);
+	put_section(s, "teams/a", "organisations: {q: {}}", 2, &number, &ok);
 	CU_ASSERT(ok);
-	CU_ASSERT_EQUAL(
-		put(s, "teams/a", "organisations: {p: {}}", 4, &number, &ok), ERR_INVALID);
+	CU_ASSERT_EQUAL(put_section(s, "teams/a", "organisations: {p: {}}", 4, &number, &ok),
+		ERR_INVALID);
 	CU_ASSERT(config_load(s, &c, NULL));
 	CU_ASSERT_EQUAL(c.number, 4);
 	CU_ASSERT_STRING_EQUAL(config_find(&c, "teams/a")->text, "organisations: {q: {}}");
@@ -107,8 +113,8 @@
 	store_free(s);
 }
 
-/* A snapshot is never replaced by an older configuration. */
-static void config_forwards_only(void)
+/* Loading never replaces a snapshot with an older configuration. */
+static void older_config_rejected(void)
 {
 	struct store *newer = store_embedded_new(&clock_system);
 	struct store *older = store_embedded_new(&clock_system);
@@ -117,9 +123,9 @@
 	uint64_t number = 0;
 	bool ok;
 
-	put(newer, "cluster", cluster_text, 0, &number, &ok);
-	put(newer, "teams/a", "organisations: {o: {}}", 0, &number, &ok);
-	put(older, "cluster", cluster_text, 0, &number, &ok);
+	put_section(newer, "cluster", cluster_text, 0, &number, &ok);
+	put_section(newer, "teams/a", "organisations: {o: {}}", 0, &number, &ok);
+	put_section(older, "cluster", cluster_text, 0, &number, &ok);
 	CU_ASSERT(config_load(newer, &c, NULL));
 	CU_ASSERT_FALSE(config_load(older, &c, &err));
 	CU_ASSERT_EQUAL(error_kind_of(err), ERR_CONFLICT);
@@ -129,12 +135,15 @@
 	store_free(older);
 }
 
-/* A term is taken once; a lost answer is recognised; a paused holder finds it gone. */
-static void terms(void)
+/*
+ * Only one holder can take a term, even if the reply to its write is lost. A holder whose lease
+ * expired can renew until another one has taken the next term.
+ */
+static void term_has_one_holder(void)
 {
-	struct plan plan = {"txn", 1, STORE_FAULT_AFTER};
+	struct fault_plan plan = {"txn", 1, STORE_FAULT_AFTER};
 	struct store *inner = store_embedded_new(&clock_system);
-	struct store *s = store_faulty_new(inner, run_plan, &plan);
+	struct store *s = store_faulty_new(inner, inject_fault, &plan);
 	struct cell_term a = {0}, b = {0};
 	g_autoptr(GError) err = NULL;
 
@@ -155,7 +164,7 @@
 	store_free(s);
 }
 
-/* A coordinator of an old term cannot write job records any more. */
+/* A coordinator with an old term cannot write job records. */
 static void records_fenced(void)
 {
 	struct store *s = store_embedded_new(&clock_system);
@@ -182,10 +191,10 @@
 
 void unit_state(CU_pSuite s)
 {
-	CU_add_test(s, "an edit whose answer is lost counts once", edit_answer_lost);
-	CU_add_test(s, "a store that is down writes nothing", edit_store_down);
-	CU_add_test(s, "edits race by section", edits_race);
-	CU_add_test(s, "configuration goes forwards only", config_forwards_only);
-	CU_add_test(s, "a term has one holder", terms);
-	CU_add_test(s, "old terms cannot write records", records_fenced);
+	CU_add_test(s, "an edit whose reply is lost is applied once", edit_reply_lost);
+	CU_add_test(s, "an edit fails if the store is down", edit_store_down);
+	CU_add_test(s, "edits conflict per section", edits_conflict_per_section);
+	CU_add_test(s, "an older configuration is rejected", older_config_rejected);
+	CU_add_test(s, "a term has one holder", term_has_one_holder);
+	CU_add_test(s, "old terms cannot write job records", records_fenced);
 }
