--- a/tests/property/prop-workload.cc
+++ b/tests/property/prop-workload.cc
@@ -30,6 +30,14 @@
 /* How long a confirmed coordinator lets agents start tasks, and workers run without renewal. */
 static const int64_t AUTHORITY_PERIOD = 4 * SEC;
 static const int64_t WORKER_LEASE = 6 * SEC;
+/* A coordinator takes a worker for unreachable, and stops scheduling, after these periods. */
+static const int64_t REPORT_TIMEOUT = 3 * SEC;
+static const int64_t CONFIRMATION_TIMEOUT = 3 * SEC;
+static const int64_t WORKER_STOP_TIME = 400 * MS;
+static const int FAULT_TICKS = 800;
+static const int DRAIN_TICKS = 3000;
+static const int SUBMIT_INTERVAL_TICKS = 30;
+static const uint32_t JOB_COUNT = 14;
 static const int WORKER_COUNT = 5;
 static const int WORKER_ACCELERATORS = 8;
 
@@ -71,7 +79,7 @@
 	uint64_t stored_end_number = 0;
 	uint64_t last_ordinal = 0;
 	int64_t disconnected_until = 0;
-	/* A message was lost: nothing is delivered until the agent reconnects. */
+	/* An order was lost; later ones are dropped until the agent reconnects. */
 	bool connection_broken = false;
 	int64_t next_report_at = 0;
 	std::deque<bytes> inbox;
@@ -486,7 +494,7 @@
 			if (it != k.runs.end() && it->second.attempt <= m.stop.attempt &&
 				!it->second.stopping) {
 				it->second.stopping = true;
-				it->second.stop_at = sim->now + 400 * MS;
+				it->second.stop_at = sim->now + WORKER_STOP_TIME;
 			}
 			k.highest_attempt[m.stop.task] =
 				std::max(k.highest_attempt[m.stop.task], m.stop.attempt);
@@ -691,7 +699,7 @@
 		if (sim->store_up() && sim->term == c->term)
 			load_jobs(sim, c.get());
 		for (auto &h : c->last_report_at) {
-			if (sim->now - h.second > 3 * SEC)
+			if (sim->now - h.second > REPORT_TIMEOUT)
 				wl_node_unreachable(c->core, sim->now, h.first.c_str());
 		}
 		GPtrArray *expired = wl_nodes_expired(c->core, sim->now);
@@ -700,7 +708,7 @@
 				sim->roster.erase((char *)expired->pdata[i]);
 		}
 		g_ptr_array_unref(expired);
-		if (sim->now - c->confirmed_at < 3 * SEC)
+		if (sim->now - c->confirmed_at < CONFIRMATION_TIMEOUT)
 			wl_pass(c->core, sim->now, sim->now);
 		persist_jobs(sim, c.get());
 	}
@@ -786,8 +794,8 @@
 		sim.workers.back().name = "w" + std::to_string(i);
 	}
 	uint32_t jobs = 0;
-	for (int t = 0; t < 800; t++) {
-		if (jobs < 14 && t % 30 == 0)
+	for (int t = 0; t < FAULT_TICKS; t++) {
+		if (jobs < JOB_COUNT && t % SUBMIT_INTERVAL_TICKS == 0)
 			submit_job(&sim, jobs++, sim.random_below(3) == 0);
 		if (sim.fault_chance(300) && jobs > 0)
 			std::next(
@@ -799,7 +807,7 @@
 	sim.store_down_until = 0;
 	for (auto &k : sim.workers)
 		k.disconnected_until = 0;
-	for (int t = 0; t < 3000 && !all_jobs_ended(&sim); t++)
+	for (int t = 0; t < DRAIN_TICKS && !all_jobs_ended(&sim); t++)
 		advance(&sim);
 	if (!all_jobs_ended(&sim))
 		sim.violation("unfinished jobs: " + describe_unfinished(&sim));
