--- a/packages/bench/bench-policy.c
+++ b/packages/bench/bench-policy.c
@@ -769,6 +769,7 @@
 			if (!a->done)
 				continue;
 			key = g_new(double, 2);
+			/* The small term makes the keys unique. */
 			key[0] = (double)a->run_time / (double)SEC * a->accelerators +
 				 1e-9 * (double)i;
 			key[1] = next;
@@ -955,6 +956,7 @@
 	sum->violations += full->totals.partial_gangs + full->totals.double_runs +
 			   full->totals.false_refusals;
 	sum->urgent_wait_max = MAX(sum->urgent_wait_max, full->totals.urgent_wait_max);
+	/* Load 0.9. */
 	if (load > 0.85 && load < 0.95) {
 		append_ratio(
 			sum->completion, full->mean_completion, results[0].mean_completion);
