--- a/packages/bench/bench-policy.c
+++ b/packages/bench/bench-policy.c
@@ -358,7 +358,7 @@
 	struct doc *d;
 
 	if (!g_file_get_contents(file, &text, NULL, NULL) ||
-		!doc_split(text, sections, &problems)) {
+		!doc_split_sections(text, sections, &problems)) {
 		fprintf(stderr, "bench-policy: cannot read %s\n", file);
 		exit(1);
 	}
--- a/tests/property/prop-gang.cc
+++ b/tests/property/prop-gang.cc
@@ -267,7 +267,7 @@
 		return;
 	m.kind = MSG_SUBMIT;
 	m.submit.spec = *c->open_jobs[id];
-	m.submit.again = c->submitted_term.count(id) > 0;
+	m.submit.resubmitted = c->submitted_term.count(id) > 0;
 	m.submit.last_term = c->submitted_term[id];
 	m.submit.wait = true;
 	c->submitted_term[id] = c->term;
--- a/tests/property/prop-sched.cc
+++ b/tests/property/prop-sched.cc
@@ -57,7 +57,7 @@
 	cell.per_rack = *rc::gen::inRange(1, 5);
 	cell.guarantees.resize((size_t)*rc::gen::inRange(1, 5));
 	std::vector<pack_worker> free_workers;
-	GArray *pieces = g_array_new(FALSE, TRUE, sizeof(pack_piece));
+	GArray *pieces = g_array_new(FALSE, TRUE, sizeof(pack_allocation));
 	for (int i = 0; i < cell.workers; i++)
 		free_workers.push_back({(uint32_t)(i / cell.per_rack), 8});
 	int attempts = *rc::gen::inRange(0, 12);
--- a/tests/unit/test-base.c
+++ b/tests/unit/test-base.c
@@ -24,7 +24,7 @@
 static void errors_have_answers(void)
 {
 	for (int i = 0; i < ERR_COUNT; i++) {
-		const struct error_answer *a = error_answer((enum error_kind)i);
+		const struct error_info *a = error_info((enum error_kind)i);
 		enum error_kind parsed = ERR_COUNT;
 
 		CU_ASSERT_PTR_NOT_NULL_FATAL(a->name);
@@ -33,9 +33,9 @@
 		CU_ASSERT(error_kind_parse(a->name, &parsed));
 		CU_ASSERT_EQUAL(parsed, (enum error_kind)i);
 	}
-	CU_ASSERT_FALSE(error_answer(ERR_UNKNOWN_OUTCOME)->not_run);
-	CU_ASSERT_FALSE(error_answer(ERR_MEMBER_LOST)->not_run);
-	CU_ASSERT_FALSE(error_answer(ERR_STORE_UNSURE)->not_run);
+	CU_ASSERT_FALSE(error_info(ERR_UNKNOWN_OUTCOME)->not_run);
+	CU_ASSERT_FALSE(error_info(ERR_MEMBER_LOST)->not_run);
+	CU_ASSERT_FALSE(error_info(ERR_STORE_UNSURE)->not_run);
 }
 
 /*
--- a/tests/unit/test-state.c
+++ b/tests/unit/test-state.c
@@ -54,7 +54,7 @@
 /* An edit whose store reply is lost is recognised by its token and applied only once. */
 static void edit_reply_lost(void)
 {
-	struct fault_plan plan = {"txn", 2, STORE_FAULT_AFTER};
+	struct fault_plan plan = {"txn", 2, STORE_FAULT_RESPONSE_LOST};
 	struct store *s =
 		store_faulty_new(store_embedded_new(&clock_system), inject_fault, &plan);
 	uint64_t number = 0;
@@ -72,7 +72,7 @@
 /* An edit fails with ERR_STORE_DOWN and writes nothing if the store is down. */
 static void edit_store_down(void)
 {
-	struct fault_plan plan = {"txn", 1, STORE_FAULT_BEFORE};
+	struct fault_plan plan = {"txn", 1, STORE_FAULT_NOT_APPLIED};
 	struct store *s =
 		store_faulty_new(store_embedded_new(&clock_system), inject_fault, &plan);
 	uint64_t number = 0;
@@ -107,8 +107,10 @@
 		ERR_INVALID);
 	CU_ASSERT(config_load(s, &c, NULL));
 	CU_ASSERT_EQUAL(c.number, 4);
-	CU_ASSERT_STRING_EQUAL(config_find(&c, "teams/a")->text, "organisations: {q: {}}");
-	CU_ASSERT_STRING_EQUAL(config_find(&c, "teams/b")->text, "organisations: {p: {}}");
+	CU_ASSERT_STRING_EQUAL(
+		config_find_section(&c, "teams/a")->text, "organisations: {q: {}}");
+	CU_ASSERT_STRING_EQUAL(
+		config_find_section(&c, "teams/b")->text, "organisations: {p: {}}");
 	config_snapshot_clear(&c);
 	store_free(s);
 }
@@ -141,21 +143,21 @@
  */
 static void term_has_one_holder(void)
 {
-	struct fault_plan plan = {"txn", 1, STORE_FAULT_AFTER};
+	struct fault_plan plan = {"txn", 1, STORE_FAULT_RESPONSE_LOST};
 	struct store *inner = store_embedded_new(&clock_system);
 	struct store *s = store_faulty_new(inner, inject_fault, &plan);
 	struct cell_term a = {0}, b = {0};
 	g_autoptr(GError) err = NULL;
 
-	CU_ASSERT(cell_term_take(s, "c", "x:1", "x", 5, &a, NULL));
+	CU_ASSERT(cell_term_acquire(s, "c", "x:1", "x", 5, &a, NULL));
 	CU_ASSERT_EQUAL(a.term, 1);
-	CU_ASSERT_FALSE(cell_term_take(s, "c", "y:1", "y", 5, &b, &err));
+	CU_ASSERT_FALSE(cell_term_acquire(s, "c", "y:1", "y", 5, &b, &err));
 	CU_ASSERT_EQUAL(error_kind_of(err), ERR_CONFLICT);
 	g_clear_error(&err);
-	store_embedded_expire(inner);
+	store_embedded_expire_leases(inner);
 	CU_ASSERT(cell_term_renew(s, "c", 5, &a, NULL));
-	store_embedded_expire(inner);
-	CU_ASSERT(cell_term_take(s, "c", "y:1", "y", 5, &b, NULL));
+	store_embedded_expire_leases(inner);
+	CU_ASSERT(cell_term_acquire(s, "c", "y:1", "y", 5, &b, NULL));
 	CU_ASSERT_EQUAL(b.term, 2);
 	CU_ASSERT_FALSE(cell_term_renew(s, "c", 5, &a, &err));
 	CU_ASSERT_EQUAL(error_kind_of(err), ERR_CONFLICT);
@@ -173,11 +175,11 @@
 	g_autoptr(GPtrArray) records = g_ptr_array_new_with_free_func(job_record_free);
 	bool ours = false;
 
-	CU_ASSERT(cell_term_take(s, "c", "x:1", "x", 5, &a, NULL));
+	CU_ASSERT(cell_term_acquire(s, "c", "x:1", "x", 5, &a, NULL));
 	CU_ASSERT(job_store_write(s, "c", &a, &w, 1, &ours, NULL));
 	CU_ASSERT(ours);
-	store_embedded_expire(s);
-	CU_ASSERT(cell_term_take(s, "c", "y:1", "y", 5, &b, NULL));
+	store_embedded_expire_leases(s);
+	CU_ASSERT(cell_term_acquire(s, "c", "y:1", "y", 5, &b, NULL));
 	w.record.attempt = 7;
 	CU_ASSERT(job_store_write(s, "c", &a, &w, 1, &ours, NULL));
 	CU_ASSERT_FALSE(ours);
