--- a/packages/state/config-store.c
+++ b/packages/state/config-store.c
@@ -70,7 +70,7 @@
 		*mod_revision = r.kvs[0].mod_revision;
 		o = json_loadb(r.kvs[0].value.data, r.kvs[0].value.len, 0, NULL);
 		if (o == NULL)
-			error_set(err, ERR_INTERNAL, "key %s does not contain valid JSON", key);
+			error_set(err, ERR_INTERNAL, "the key %s does not hold JSON", key);
 	}
 	store_range_clear(&r);
 	return o;
@@ -161,8 +161,8 @@
 		if (number < snapshot->number) {
 			json_decref(head);
 			error_set(err, ERR_CONFLICT,
-				"stored configuration %" PRIu64
-				" is older than the loaded configuration %" PRIu64,
+				"the store's configuration %" PRIu64
+				" is older than ours, %" PRIu64,
 				number, snapshot->number);
 			return false;
 		}
@@ -185,7 +185,7 @@
 		if (!ok)
 			return false;
 	}
-	error_set(err, ERR_CONFLICT, "configuration kept changing while it was read");
+	error_set(err, ERR_CONFLICT, "the configuration changes too fast to be read");
 	return false;
 }
 
@@ -301,7 +301,8 @@
 	o = read_json(s, key, &revision, &local_err);
 	if (local_err != NULL) {
 		error_set(err, ERR_STORE_UNSURE,
-			"unknown whether the edit was written: check \"config history\"");
+			"the store did not say whether the edit was written: look at config "
+			"history");
 		return false;
 	}
 	found = json_string_value(json_object_get(o, "token"));
@@ -345,13 +346,12 @@
 		if ((now != NULL ? now->number : 0) != edit->base) {
 			report_current(now, current);
 			error_set(err, ERR_CONFLICT,
-				"section %s was changed by edit %" PRIu64
-				" after edit %" PRIu64,
+				"section %s was changed by edit %" PRIu64 " since %" PRIu64,
 				edit->section, now != NULL ? now->number : 0, edit->base);
 			break;
 		}
 		if (!check_edit(&c, edit, problems)) {
-			error_set(err, ERR_INVALID, "section is not valid");
+			error_set(err, ERR_INVALID, "the section is not valid");
 			break;
 		}
 		*number = c.number + 1;
@@ -366,7 +366,7 @@
 	}
 	config_snapshot_clear(&c);
 	if (!done)
-		error_set(err, ERR_OVERLOAD, "too many concurrent edits");
+		error_set(err, ERR_OVERLOAD, "too many edits at once");
 	return done;
 }
 
