--- a/packages/daemon/entry-submit.c
+++ b/packages/daemon/entry-submit.c
@@ -51,23 +51,22 @@
 	case BODY_TEXT:
 		if (json_is_string(v) && (double)json_string_length(v) < m->max)
 			return true;
-		error_set(err, ERR_INVALID, "%s must be a string of less than %.0f bytes",
-			m->name, m->max);
+		error_set(err, ERR_INVALID, "%s must be text of less than %.0f bytes", m->name,
+			m->max);
 		return false;
 	case BODY_COUNT:
 		n = json_is_integer(v) ? (double)json_integer_value(v) : -1;
 		if (n >= 0 && n <= m->max)
 			return true;
-		error_set(err, ERR_INVALID, "%s must be an integer from 0 to %.0f", m->name,
+		error_set(err, ERR_INVALID, "%s must be a whole number from 0 to %.0f", m->name,
 			m->max);
 		return false;
 	case BODY_SECONDS:
 		n = json_is_number(v) ? json_number_value(v) : -1;
 		if (n > 0 && n <= m->max)
 			return true;
-		error_set(err, ERR_INVALID,
-			"%s must be a number of seconds above 0 and up to %.0f", m->name,
-			m->max);
+		error_set(err, ERR_INVALID, "%s must be seconds, above 0 and up to %.0f",
+			m->name, m->max);
 		return false;
 	case BODY_BOOL:
 		if (json_is_boolean(v))
@@ -130,8 +129,7 @@
 	const char *encoded = json_string_value(json_object_get(body, "payload_base64"));
 
 	if (plain != NULL && encoded != NULL) {
-		error_set(
-			err, ERR_INVALID, "payload and payload_base64 are mutually exclusive");
+		error_set(err, ERR_INVALID, "payload and payload_base64 exclude each other");
 		return false;
 	}
 	if (plain != NULL) {
@@ -194,7 +192,7 @@
 	}
 	c = doc_find_class(d, s->class_name);
 	if (c == NULL) {
-		error_set(err, ERR_INVALID, "class %s does not exist", s->class_name);
+		error_set(err, ERR_INVALID, "there is no class %s", s->class_name);
 		return false;
 	}
 	s->priority = c->priority;
@@ -295,7 +293,7 @@
 	const struct doc_org *o = doc_find_org(v->doc, s->org);
 
 	if (o == NULL) {
-		error_set(err, ERR_FORBIDDEN, "organisation %s does not exist", s->org);
+		error_set(err, ERR_FORBIDDEN, "there is no organisation %s", s->org);
 		return false;
 	}
 	if (!auth_org(r, v->doc, o)) {
@@ -317,8 +315,7 @@
 	}
 	if (__atomic_load_n(&e->open_count, __ATOMIC_RELAXED) >= e->open_max) {
 		counter_add(&jobs_limited, 1);
-		error_set(
-			err, ERR_OVERLOAD, "this entry has reached its limit of open requests");
+		error_set(err, ERR_OVERLOAD, "this entry has as many open requests as it may");
 		return false;
 	}
 	return true;
