--- a/packages/daemon/entry-config-http.c
+++ b/packages/daemon/entry-config-http.c
@@ -135,7 +135,7 @@
 	const struct doc_section *s = config_find_section(&v->config, section);
 
 	if (s == NULL) {
-		http_reply_problem(r, ERR_NOT_FOUND, "the section does not exist", NULL);
+		http_reply_problem(r, ERR_NOT_FOUND, "there is no such section", NULL);
 		return;
 	}
 	reply_json(r, json_pack("{s:s,s:I,s:s}", "section", s->name, "number",
@@ -165,12 +165,11 @@
 
 	if (!auth_team(r, v->doc, section)) {
 		http_reply_problem(r, ERR_UNAUTHORISED,
-			"a token of the section's team or of an operator is needed", NULL);
+			"a token of the section's team or an operator's is needed", NULL);
 		return;
 	}
 	if (strlen(http_body(r)->data ? http_body(r)->data : "") != http_body(r)->len) {
-		http_reply_problem(
-			r, ERR_INVALID, "the section must be text without NUL bytes", NULL);
+		http_reply_problem(r, ERR_INVALID, "the section must be text", NULL);
 		return;
 	}
 	w = xcalloc(1, sizeof(*w));
