--- a/packages/daemon/entry-http.c
+++ b/packages/daemon/entry-http.c
@@ -53,7 +53,7 @@
 
 	*org = NULL;
 	if (name != NULL && o == NULL) {
-		http_reply_problem(r, ERR_NOT_FOUND, "the organisation does not exist", NULL);
+		http_reply_problem(r, ERR_NOT_FOUND, "there is no such organisation", NULL);
 		return false;
 	}
 	if (o != NULL && auth_org(r, v->doc, o)) {
@@ -91,7 +91,7 @@
 		*subpath++ = '\0';
 	cell = job_id_cell(id);
 	if (cell == NULL) {
-		http_reply_problem(r, ERR_NOT_FOUND, "no job has this id", NULL);
+		http_reply_problem(r, ERR_NOT_FOUND, "there is no job with this id", NULL);
 		return;
 	}
 	if (!reader_org(r, v, &org))
@@ -218,7 +218,7 @@
 	v = rcu_read(&e->view);
 	if (v == NULL)
 		http_reply_problem(r, ERR_STORE_DOWN,
-			"this entry has not loaded the configuration yet", NULL);
+			"this entry has not seen the configuration yet", NULL);
 	else
 		route(e, r, v);
 	rcu_leave();
