--- a/packages/daemon/entry-job.c
+++ b/packages/daemon/entry-job.c
@@ -190,7 +190,7 @@
 
 	if (no_coordinator) {
 		http_reply_problem(j->request, ERR_NO_COORDINATOR,
-			"the cell has no coordinator; the job was not forwarded", NULL);
+			"the cell has no coordinator; the job was not handed over", NULL);
 		close_job(j);
 	} else if (now - j->waiting_since > e->answer_timeout && j->sent) {
 		if (j->accepted)
