--- a/packages/daemon/entry-query.c
+++ b/packages/daemon/entry-query.c
@@ -68,7 +68,7 @@
 		reply_gathered(q);
 	else {
 		http_reply_outcome(q->request, ERR_NO_COORDINATOR,
-			"the cell has no coordinator; the state of the job is unknown", false,
+			"the cell has no coordinator; nothing can be said about the job", false,
 			NO_COORDINATOR_RETRY_S, NULL);
 		close_query(q);
 	}
