--- a/tests/soak/main.c
+++ b/tests/soak/main.c
@@ -46,7 +46,7 @@
 
 /* Write a settings file; more holds further fields. */
 static char *write_settings(
-	const struct soak *k, const char *name, const char *store, char *more)
+	const struct soak *soak, const char *name, const char *store, char *more)
 {
 	g_autofree char *peers = free_addr();
 	int port = port_of(peers);
@@ -56,7 +56,7 @@
 				"s\",\"min_ttl_ms\":1000},"
 				"\"bounds\":{\"max_hold_ms\":6000,\"grace_period_s\":6},%s}",
 			name, port, port, store, more);
-	char *path = g_strdup_printf("%s/%s.json", k->s.dir, name);
+	char *path = g_strdup_printf("%s/%s.json", soak->scenario.dir, name);
 
 	g_file_set_contents(path, text, -1, NULL);
 	g_free(more);
@@ -64,85 +64,86 @@
 }
 
 /* Start one process of the system. */
-static void start_node(struct soak *k, struct soak_node *n, const char *name, const char *role,
-	const char *path)
+static void start_node(struct soak *soak, struct soak_node *n, const char *name,
+	const char *role, const char *path)
 {
 	char **argv = g_new0(char *, 3);
 
-	argv[0] = g_strdup_printf("%s/damaskpathd", k->s.bin);
+	argv[0] = g_strdup_printf("%s/damaskpathd", soak->scenario.bin);
 	argv[1] = g_strdup(role);
-	n->proc = proc_start_node(&k->s, name, argv, path);
+	n->proc = proc_start_node(&soak->scenario, name, argv, path);
 }
 
 /* Start an entry behind a relay to the store. */
-static void start_entry(struct soak *k, struct soak_node *n, int number)
+static void start_entry(struct soak *soak, struct soak_node *n, int number)
 {
 	g_autofree char *store = NULL;
 	g_autofree char *name = g_strdup_printf("entry-%d", number);
 	g_autofree char *path = NULL;
 
 	n->is_entry = true;
-	n->store = relay_new(k->platform_addr, &store);
-	n->callers = free_addr();
-	n->ready = free_addr();
-	path = write_settings(k, name, store,
+	n->store_relay = relay_new(soak->platform_addr, &store);
+	n->call_addr = free_addr();
+	n->ready_addr = free_addr();
+	path = write_settings(soak, name, store,
 		g_strdup_printf(
 			"\"listen_addresses\":{\"frontend_addr\":\"%s\",\"ready\":\"%s\"}",
-			n->callers, n->ready));
-	start_node(k, n, name, "workload-entry", path);
+			n->call_addr, n->ready_addr));
+	start_node(soak, n, name, "workload-entry", path);
 }
 
 /* Start an agent behind relays to the store and to its worker. */
-static void start_agent(
-	struct soak *k, struct soak_node *n, int number, const char *app, const char *control)
+static void start_agent(struct soak *soak, struct soak_node *n, int number, const char *app,
+	const char *control)
 {
 	g_autofree char *store = NULL;
 	g_autofree char *worker = NULL;
 	g_autofree char *name = g_strdup_printf("agent-%d", number);
 	g_autofree char *path = NULL;
 
-	n->store = relay_new(k->platform_addr, &store);
-	n->worker = relay_new(app, &worker);
-	path = write_settings(k, name, store,
+	n->store_relay = relay_new(soak->platform_addr, &store);
+	n->worker_relay = relay_new(app, &worker);
+	path = write_settings(soak, name, store,
 		g_strdup_printf("\"app\":\"%s\",\"listen_addresses\":{\"control\":\"%s\"}",
 			worker, control));
-	start_node(k, n, name, "workload-agent", path);
+	start_node(soak, n, name, "workload-agent", path);
 }
 
 /* Start the stand-in of the platform and the system on it. */
-static void start_all(struct soak *k)
+static void start_all(struct soak *soak)
 {
 	char **argv = g_new0(char *, 4 + SOAK_WORKERS);
 	char *app[SOAK_WORKERS];
 	char *control[SOAK_WORKERS];
 
-	k->platform_addr = free_addr();
-	argv[0] = g_strdup_printf("%s/standin-platform", k->s.bin);
-	argv[1] = g_strdup(k->platform_addr);
+	soak->platform_addr = free_addr();
+	argv[0] = g_strdup_printf("%s/standin-platform", soak->scenario.bin);
+	argv[1] = g_strdup(soak->platform_addr);
 	argv[2] = g_strdup("regress/platform/config.json");
 	for (int i = 0; i < SOAK_WORKERS; i++) {
 		app[i] = free_addr();
 		control[i] = free_addr();
 		argv[3 + i] = g_strdup_printf("w%d=%s,%s", i + 1, app[i], control[i]);
 	}
-	k->platform = proc_start(&k->s, "platform", argv);
+	soak->platform = proc_start(&soak->scenario, "platform", argv);
 	for (int i = 0; i < SOAK_ENTRIES; i++)
-		start_entry(k, &k->nodes[i], i + 1);
+		start_entry(soak, &soak->nodes[i], i + 1);
 	for (int i = 0; i < SOAK_WORKERS; i++) {
-		start_agent(k, &k->nodes[SOAK_ENTRIES + i], i + 1, app[i], control[i]);
+		start_agent(soak, &soak->nodes[SOAK_ENTRIES + i], i + 1, app[i], control[i]);
 		g_free(app[i]);
 		g_free(control[i]);
 	}
 }
 
 /* Wait until an entry takes calls. */
-static void await_ready(struct soak *k)
+static void await_ready(struct soak *soak)
 {
 	int64_t limit = now_ns() + START_LIMIT;
 
-	while (load_call("GET", k->nodes[0].callers, "0000000000000000", NULL, NULL) != 410) {
+	while (load_http_call("GET", soak->nodes[0].call_addr, "0000000000000000", NULL,
+		       NULL) != 410) {
 		if (now_ns() > limit) {
-			fail(&k->s, "no entry answers");
+			fail(&soak->scenario, "no entry answers");
 			return;
 		}
 		usleep(50000);
@@ -150,26 +151,27 @@
 }
 
 /* Stop all; a process that does not end in time, or ends with a code, is a failure. */
-static void stop_all(struct soak *k)
+static void stop_all(struct soak *soak)
 {
-	for (size_t i = 0; i < ARRAY_LEN(k->nodes); i++)
-		proc_signal(&k->s, k->nodes[i].proc, SIGTERM);
-	for (size_t i = 0; i < ARRAY_LEN(k->nodes); i++) {
-		int code = proc_reap(k->nodes[i].proc, STOP_LIMIT);
+	for (size_t i = 0; i < ARRAY_LEN(soak->nodes); i++)
+		proc_signal(&soak->scenario, soak->nodes[i].proc, SIGTERM);
+	for (size_t i = 0; i < ARRAY_LEN(soak->nodes); i++) {
+		int code = proc_reap(soak->nodes[i].proc, STOP_LIMIT);
 
 		if (code != 0)
-			fail(&k->s, "%s ended with code %d", k->nodes[i].proc->name, code);
+			fail(&soak->scenario, "%s ended with code %d",
+				soak->nodes[i].proc->name, code);
 	}
-	proc_signal(&k->s, k->platform, SIGKILL);
+	proc_signal(&soak->scenario, soak->platform, SIGKILL);
 }
 
 int main(int argc, char **argv)
 {
-	struct soak k = {.s = {.bin = argc > 1 ? argv[1] : ""}};
+	struct soak soak = {.scenario = {.bin = argc > 1 ? argv[1] : ""}};
 	unsigned int seed = argc > 2 ? (unsigned int)strtoul(argv[2], NULL, 10) : 1;
 	int64_t span = (argc > 3 ? atoi(argv[3]) : SECONDS_DEFAULT) * NSEC_PER_SEC;
 	pthread_t callers[SOAK_CALLERS];
-	struct fault_plan *faults;
+	struct fault_injector *faults;
 	unsigned int bad;
 
 	if (argc < 2) {
@@ -177,30 +179,30 @@
 		return 2;
 	}
 	signal(SIGPIPE, SIG_IGN);
-	k.s.dir = g_dir_make_tmp("damaskpath-soak-XXXXXX", NULL);
-	k.s.procs = g_ptr_array_new();
-	k.rand = g_rand_new_with_seed(seed);
-	k.jobs = g_ptr_array_new();
-	pthread_mutex_init(&k.lock, NULL);
-	start_all(&k);
-	await_ready(&k);
-	k.until = now_ns() + span;
-	load_start(&k, callers);
-	faults = fault_plan_new(&k);
-	while (now_ns() < k.until) {
-		fault_step(faults);
-		proc_watch(&k.s);
+	soak.scenario.dir = g_dir_make_tmp("damaskpath-soak-XXXXXX", NULL);
+	soak.scenario.procs = g_ptr_array_new();
+	soak.rand = g_rand_new_with_seed(seed);
+	soak.jobs = g_ptr_array_new();
+	pthread_mutex_init(&soak.lock, NULL);
+	start_all(&soak);
+	await_ready(&soak);
+	soak.end_at = now_ns() + span;
+	load_start(&soak, callers);
+	faults = fault_injector_new(&soak);
+	while (now_ns() < soak.end_at) {
+		fault_injector_step(faults);
+		proc_watch(&soak.scenario);
 		usleep(20000);
 	}
-	fault_end(faults);
+	fault_injector_stop(faults);
 	for (size_t i = 0; i < SOAK_CALLERS; i++)
 		pthread_join(callers[i], NULL);
 	printf("soak seed=%u ", seed);
-	bad = check_all(&k, stdout);
-	stop_all(&k);
-	printf(" stop_failed=%u\n", k.s.t.failed);
-	bad += k.s.t.failed;
+	bad = check_invariants(&soak, stdout);
+	stop_all(&soak);
+	printf(" stop_failed=%u\n", soak.scenario.t.failed);
+	bad += soak.scenario.t.failed;
 	if (bad > 0)
-		printf("soak seed=%u failed; files in %s\n", seed, k.s.dir);
+		printf("soak seed=%u failed; files in %s\n", seed, soak.scenario.dir);
 	return bad > 0 ? 1 : 0;
 }
--- a/tests/soak/soak-check.c
+++ b/tests/soak/soak-check.c
@@ -16,20 +16,20 @@
 }
 
 /* Wait for the jobs that were accepted; how many have not ended. */
-static unsigned int check_ends(struct soak *k)
+static unsigned int check_ends(struct soak *soak)
 {
 	int64_t limit = now_ns() + END_LIMIT;
 	unsigned int lost = 0;
 
-	for (guint i = 0; i < k->jobs->len; i++) {
-		const struct soak_job *j = k->jobs->pdata[i];
+	for (guint i = 0; i < soak->jobs->len; i++) {
+		const struct soak_job *j = soak->jobs->pdata[i];
 		g_autofree char *state = NULL;
 
 		if (!j->accepted)
 			continue;
 		for (;;) {
 			g_free(state);
-			state = load_state(k, j->id);
+			state = load_job_state(soak, j->id);
 			if (has_ended(j, state) || now_ns() > limit)
 				break;
 			usleep(100000);
@@ -44,15 +44,15 @@
 }
 
 /* Jobs that were refused and ran all the same. */
-static unsigned int check_refusals(const struct soak *k, const json_t *begun)
+static unsigned int check_refusals(const struct soak *soak, const json_t *begun)
 {
 	g_autoptr(GHashTable) ids = g_hash_table_new(g_str_hash, g_str_equal);
 	unsigned int bad = 0;
 
 	for (size_t i = 0; i < json_array_size(begun); i++)
 		g_hash_table_add(ids, (gpointer)json_string_value(json_array_get(begun, i)));
-	for (guint i = 0; i < k->jobs->len; i++) {
-		const struct soak_job *j = k->jobs->pdata[i];
+	for (guint i = 0; i < soak->jobs->len; i++) {
+		const struct soak_job *j = soak->jobs->pdata[i];
 
 		if (!j->refused || !g_hash_table_contains(ids, j->id))
 			continue;
@@ -63,27 +63,28 @@
 }
 
 /* Check all that must hold; how much does not. */
-unsigned int check_all(struct soak *k, FILE *out)
+unsigned int check_invariants(struct soak *soak, FILE *out)
 {
-	unsigned int lost = check_ends(k);
+	unsigned int lost = check_ends(soak);
 	json_t *answer = NULL;
 	const json_t *wrong;
 	unsigned int refused;
 	unsigned int accepted = 0;
 
-	client_put(k->platform_addr, "/control", "{}", &answer);
+	client_put(soak->platform_addr, "/control", "{}", &answer);
 	wrong = json_object_get(answer, "wrong");
-	refused = check_refusals(k, json_object_get(answer, "begun"));
+	refused = check_refusals(soak, json_object_get(answer, "begun"));
 	for (size_t i = 0; i < json_array_size(wrong); i++)
 		fprintf(stderr, "%s\n", json_string_value(json_array_get(wrong, i)));
-	for (guint i = 0; i < k->jobs->len; i++)
-		accepted += ((struct soak_job *)k->jobs->pdata[i])->accepted;
+	for (guint i = 0; i < soak->jobs->len; i++)
+		accepted += ((struct soak_job *)soak->jobs->pdata[i])->accepted;
 	fprintf(out,
 		"jobs=%u accepted=%u faults=%u lost=%u forgotten=%u refused_ran=%u wrong=%zu "
 		"ended_by_itself=%u",
-		k->jobs->len, accepted, k->faults, lost, k->forgotten, refused,
-		json_array_size(wrong), k->s.t.failed);
-	lost += refused + k->forgotten + (unsigned int)json_array_size(wrong) + k->s.t.failed;
+		soak->jobs->len, accepted, soak->faults, lost, soak->forgotten, refused,
+		json_array_size(wrong), soak->scenario.t.failed);
+	lost += refused + soak->forgotten + (unsigned int)json_array_size(wrong) +
+		soak->scenario.t.failed;
 	json_decref(answer);
 	return lost;
 }
--- a/tests/soak/soak-fault.c
+++ b/tests/soak/soak-fault.c
@@ -32,25 +32,25 @@
 	int64_t until;
 };
 
-struct fault_plan {
-	struct soak *k;
+struct fault_injector {
+	struct soak *soak;
 	GArray *open;
 	int64_t next;
 };
 
 /* Nanoseconds between two bounds in milliseconds. */
-static int64_t span(struct fault_plan *f, int from_ms, int to_ms)
+static int64_t span(struct fault_injector *f, int from_ms, int to_ms)
 {
-	return g_rand_int_range(f->k->rand, from_ms, to_ms) * NSEC_PER_MSEC;
+	return g_rand_int_range(f->soak->rand, from_ms, to_ms) * NSEC_PER_MSEC;
 }
 
-static void control(struct fault_plan *f, const char *text)
+static void control(struct fault_injector *f, const char *text)
 {
-	client_put(f->k->platform_addr, "/control", text, NULL);
+	client_put(f->soak->platform_addr, "/control", text, NULL);
 }
 
 /* Whether a fault on a node is open. */
-static bool is_open(const struct fault_plan *f, const struct soak_node *n)
+static bool is_open(const struct fault_injector *f, const struct soak_node *n)
 {
 	for (guint i = 0; i < f->open->len; i++) {
 		if (g_array_index(f->open, struct fault, i).node == n)
@@ -60,24 +60,24 @@
 }
 
 /* Undo a fault. */
-static void undo(struct fault_plan *f, const struct fault *x)
+static void undo(struct fault_injector *f, const struct fault *x)
 {
 	switch (x->kind) {
 	case FAULT_KILL:
-		proc_restart(&f->k->s, x->node->proc);
+		proc_restart(&f->soak->scenario, x->node->proc);
 		break;
 	case FAULT_RESTART:
 		proc_reap(x->node->proc, 8 * NSEC_PER_SEC);
-		proc_restart(&f->k->s, x->node->proc);
+		proc_restart(&f->soak->scenario, x->node->proc);
 		break;
 	case FAULT_PAUSE:
-		proc_signal(&f->k->s, x->node->proc, SIGCONT);
+		proc_signal(&f->soak->scenario, x->node->proc, SIGCONT);
 		break;
 	case FAULT_STORE_LINK:
-		relay_set(x->node->store, RELAY_OPEN);
+		relay_set(x->node->store_relay, RELAY_OPEN);
 		break;
 	case FAULT_WORKER_LINK:
-		relay_set(x->node->worker, RELAY_OPEN);
+		relay_set(x->node->worker_relay, RELAY_OPEN);
 		break;
 	case FAULT_STORE_DOWN:
 		control(f, "{\"down\":false}");
@@ -91,27 +91,27 @@
 }
 
 /* Put one fault on a node; false where it does not fit. */
-static bool put(struct fault_plan *f, struct fault *x)
+static bool put(struct fault_injector *f, struct fault *x)
 {
 	static const enum relay_mode modes[] = {
 		RELAY_HOLD, RELAY_CUT, RELAY_ONE_WAY, RELAY_SLOW};
-	enum relay_mode mode = modes[g_rand_int_range(f->k->rand, 0, ARRAY_LEN(modes))];
+	enum relay_mode mode = modes[g_rand_int_range(f->soak->rand, 0, ARRAY_LEN(modes))];
 	g_autofree char *text = NULL;
 
 	switch (x->kind) {
 	case FAULT_KILL:
-		return proc_signal(&f->k->s, x->node->proc, SIGKILL);
+		return proc_signal(&f->soak->scenario, x->node->proc, SIGKILL);
 	case FAULT_RESTART:
-		return proc_signal(&f->k->s, x->node->proc, SIGTERM);
+		return proc_signal(&f->soak->scenario, x->node->proc, SIGTERM);
 	case FAULT_PAUSE:
-		return proc_signal(&f->k->s, x->node->proc, SIGSTOP);
+		return proc_signal(&f->soak->scenario, x->node->proc, SIGSTOP);
 	case FAULT_STORE_LINK:
-		relay_set(x->node->store, mode);
+		relay_set(x->node->store_relay, mode);
 		return true;
 	case FAULT_WORKER_LINK:
 		if (x->node->is_entry)
 			return false;
-		relay_set(x->node->worker, mode);
+		relay_set(x->node->worker_relay, mode);
 		return true;
 	case FAULT_STORE_DOWN:
 		control(f, "{\"down\":true}");
@@ -125,11 +125,11 @@
 	case FAULT_WORKER_CRASH:
 		if (x->node->is_entry)
 			return false;
-		text = g_strdup_printf(
-			"{\"crash\":\"w%d\"}", (int)(x->node - f->k->nodes) - SOAK_ENTRIES + 1);
+		text = g_strdup_printf("{\"crash\":\"w%d\"}",
+			(int)(x->node - f->soak->nodes) - SOAK_ENTRIES + 1);
 		control(f, text);
 		/* A worker's connections end with it, and what was under way on them. */
-		relay_reset(x->node->worker);
+		relay_reset(x->node->worker_relay);
 		return true;
 	case FAULT_KINDS:
 		break;
@@ -138,18 +138,18 @@
 }
 
 /* Faults that come about so often. */
-struct fault_plan *fault_plan_new(struct soak *k)
+struct fault_injector *fault_injector_new(struct soak *soak)
 {
-	struct fault_plan *f = xcalloc(1, sizeof(*f));
+	struct fault_injector *f = xcalloc(1, sizeof(*f));
 
-	f->k = k;
+	f->soak = soak;
 	f->open = g_array_new(FALSE, FALSE, sizeof(struct fault));
 	f->next = now_ns() + NSEC_PER_SEC;
 	return f;
 }
 
 /* Undo what is due, and perhaps put another fault. */
-void fault_step(struct fault_plan *f)
+void fault_injector_step(struct fault_injector *f)
 {
 	struct fault x = {0};
 
@@ -164,19 +164,20 @@
 	if (now_ns() < f->next)
 		return;
 	f->next = now_ns() + span(f, 100, 1800);
-	x.kind = (enum fault_kind)g_rand_int_range(f->k->rand, 0, FAULT_KINDS);
-	x.node = &f->k->nodes[g_rand_int_range(f->k->rand, 0, (gint32)ARRAY_LEN(f->k->nodes))];
+	x.kind = (enum fault_kind)g_rand_int_range(f->soak->rand, 0, FAULT_KINDS);
+	x.node = &f->soak->nodes[g_rand_int_range(
+		f->soak->rand, 0, (gint32)ARRAY_LEN(f->soak->nodes))];
 	x.until = now_ns() + span(f, 200, 5000);
 	if (is_open(f, x.node) || !put(f, &x))
 		return;
-	f->k->faults++;
+	f->soak->faults++;
 	printf("fault kind=%s node=%s for_ms=%lld\n", fault_names[x.kind], x.node->proc->name,
 		(long long)((x.until - now_ns()) / NSEC_PER_MSEC));
 	g_array_append_val(f->open, x);
 }
 
 /* Undo all. */
-void fault_end(struct fault_plan *f)
+void fault_injector_stop(struct fault_injector *f)
 {
 	for (guint i = 0; i < f->open->len; i++)
 		undo(f, &g_array_index(f->open, struct fault, i));
--- a/tests/soak/soak-load.c
+++ b/tests/soak/soak-load.c
@@ -11,7 +11,7 @@
 #define VISIBLE (3 * NSEC_PER_SEC)
 
 /* One call to an entry; the status, 0 where no answer came. */
-int load_call(
+int load_http_call(
 	const char *method, const char *addr, const char *id, const char *body, char **out)
 {
 	AUTOFREE char *url = NULL;
@@ -34,9 +34,9 @@
 }
 
 /* An entry, drawn by a caller. */
-static const char *any_addr(struct soak *k, GRand *r)
+static const char *any_addr(struct soak *soak, GRand *r)
 {
-	return k->nodes[g_rand_int_range(r, 0, SOAK_ENTRIES)].callers;
+	return soak->nodes[g_rand_int_range(r, 0, SOAK_ENTRIES)].call_addr;
 }
 
 /* A job of random shape; some are gangs, some have a second step. */
@@ -56,12 +56,12 @@
 }
 
 /* Hand a job in as a patient caller does. */
-static void hand_in(struct soak *k, GRand *r, struct soak_job *j)
+static void hand_in(struct soak *soak, GRand *r, struct soak_job *j)
 {
 	bool unsure = false;
 
 	for (int try = 0; try < TRIES && !j->accepted; try++) {
-		int status = load_call("POST", any_addr(k, r), j->id, j->body, NULL);
+		int status = load_http_call("POST", any_addr(soak, r), j->id, j->body, NULL);
 
 		if (status == 200) {
 			j->accepted = true;
@@ -83,11 +83,11 @@
 }
 
 /* The state that an entry tells, or NULL. */
-char *load_state(struct soak *k, const char *id)
+char *load_job_state(struct soak *soak, const char *id)
 {
 	for (int i = 0; i < SOAK_ENTRIES; i++) {
 		g_autofree char *text = NULL;
-		int status = load_call("GET", k->nodes[i].callers, id, NULL, &text);
+		int status = load_http_call("GET", soak->nodes[i].call_addr, id, NULL, &text);
 		json_t *o = status == 200 ? json_loads(text, 0, NULL) : NULL;
 		char *state = g_strdup(json_string_value(json_object_get(o, "state")));
 
@@ -101,21 +101,21 @@
 }
 
 /* Look a job up, or cancel it. */
-static void look_back(struct soak *k, GRand *r, struct soak_job *j)
+static void look_back(struct soak *soak, GRand *r, struct soak_job *j)
 {
 	if (g_rand_int_range(r, 0, 8) == 0) {
 		/* An unanswered cancellation may have been carried out. */
 		j->cancelled = true;
-		load_call("DELETE", any_addr(k, r), j->id, NULL, NULL);
+		load_http_call("DELETE", any_addr(soak, r), j->id, NULL, NULL);
 	} else if (now_ns() - j->accepted_at > VISIBLE &&
-		   load_call("GET", any_addr(k, r), j->id, NULL, NULL) == 410) {
-		__atomic_fetch_add(&k->forgotten, 1, __ATOMIC_RELAXED);
+		   load_http_call("GET", any_addr(soak, r), j->id, NULL, NULL) == 410) {
+		__atomic_fetch_add(&soak->forgotten, 1, __ATOMIC_RELAXED);
 		fprintf(stderr, "job %s was accepted and is not known\n", j->id);
 	}
 }
 
 struct caller {
-	struct soak *k;
+	struct soak *soak;
 	GRand *rand;
 	unsigned int number;
 };
@@ -126,19 +126,19 @@
 	struct caller *c = arg;
 	GPtrArray *mine = g_ptr_array_new();
 
-	for (unsigned int n = 1; now_ns() < c->k->until; n++) {
+	for (unsigned int n = 1; now_ns() < c->soak->end_at; n++) {
 		struct soak_job *j = xcalloc(1, sizeof(*j));
 
 		g_snprintf(j->id, sizeof(j->id), "%08x%08x", c->number, n);
 		j->body = any_body(c->rand);
-		hand_in(c->k, c->rand, j);
-		pthread_mutex_lock(&c->k->lock);
-		g_ptr_array_add(c->k->jobs, j);
-		pthread_mutex_unlock(&c->k->lock);
+		hand_in(c->soak, c->rand, j);
+		pthread_mutex_lock(&c->soak->lock);
+		g_ptr_array_add(c->soak->jobs, j);
+		pthread_mutex_unlock(&c->soak->lock);
 		if (j->accepted)
 			g_ptr_array_add(mine, j);
 		if (mine->len > 0 && g_rand_int_range(c->rand, 0, 3) == 0)
-			look_back(c->k, c->rand,
+			look_back(c->soak, c->rand,
 				mine->pdata[g_rand_int_range(c->rand, 0, (gint32)mine->len)]);
 		usleep((useconds_t)g_rand_int_range(c->rand, 50000, 500000));
 	}
@@ -149,14 +149,14 @@
 }
 
 /* Start the callers. */
-void load_start(struct soak *k, pthread_t *threads)
+void load_start(struct soak *soak, pthread_t *threads)
 {
 	for (unsigned int i = 0; i < SOAK_CALLERS; i++) {
 		struct caller *c = xcalloc(1, sizeof(*c));
 
-		c->k = k;
+		c->soak = soak;
 		c->number = i + 1;
-		c->rand = g_rand_new_with_seed(g_rand_int(k->rand));
+		c->rand = g_rand_new_with_seed(g_rand_int(soak->rand));
 		if (pthread_create(&threads[i], NULL, caller_thread, c) != 0)
 			abort();
 	}
--- a/tests/soak/soak.h
+++ b/tests/soak/soak.h
@@ -3,57 +3,61 @@
 
 #include "runner.h"
 
-#define SOAK_ENTRIES 2
-#define SOAK_WORKERS 4
-#define SOAK_CALLERS 3
-
-/* One process of the system and the relays on its way to the store and to its worker. */
+#define SOAK_ENTRIES	     2
+#define SOAK_WORKERS	     4
+#define SOAK_CALLERS	     3
+#define SOAK_STOP_TIMEOUT_NS (8 * NSEC_PER_SEC)
+
+/*
+ * A process of the system under test, and the relays between it and the store and, for an
+ * agent, its worker.
+ */
 struct soak_node {
 	struct proc *proc;
-	struct relay *store;
-	struct relay *worker;
+	struct relay *store_relay;
+	struct relay *worker_relay;
 	bool is_entry;
-	char *callers; /* where an entry takes calls */
-	char *ready;
+	char *call_addr; /* entries only: address for submissions and queries */
+	char *ready_addr;
 };
 
-/* A job as its caller saw it. */
+/* A job and what its caller was told about it. */
 struct soak_job {
 	char id[17];
 	char *body;
 	bool accepted;
-	bool refused; /* told that it does not run, and never sent again */
-	bool cancelled;
+	bool refused;	/* refused on every attempt, and not sent again: it must not run */
+	bool cancelled; /* a cancellation was sent, whether answered or not */
 	int64_t accepted_at;
 };
 
 struct soak {
-	struct scenario s;
+	struct scenario scenario;
 	GRand *rand;
 	struct proc *platform;
 	char *platform_addr;
 	struct soak_node nodes[SOAK_ENTRIES + SOAK_WORKERS];
-	int64_t until;
-	/* Callers add jobs; the lock guards the list and the counts. */
+	int64_t end_at;
+	/* Guards jobs, to which the caller threads append. */
 	pthread_mutex_t lock;
 	GPtrArray *jobs;
-	unsigned int faults;
-	unsigned int forgotten;
+	unsigned int faults;	/* injected so far */
+	unsigned int forgotten; /* queries for accepted jobs answered with 410; atomic */
 };
 
-/* soak-load.c: callers. */
-void load_start(struct soak *k, pthread_t *threads);
-char *load_state(struct soak *k, const char *id);
-int load_call(
-	const char *method, const char *addr, const char *id, const char *body, char **out);
+/* soak-load.c: callers that submit, query and cancel jobs. */
+void load_start(struct soak *soak, pthread_t *threads);
+char *load_job_state(struct soak *soak, const char *id);
+int load_http_call(const char *method, const char *addr, const char *id, const char *body,
+	char **body_out);
 
-/* soak-fault.c: what is done to the system from outside. */
-struct fault_plan;
-struct fault_plan *fault_plan_new(struct soak *k);
-void fault_step(struct fault_plan *f);
-void fault_end(struct fault_plan *f);
+/* soak-fault.c: random fault injection. */
+struct fault_injector;
+struct fault_injector *fault_injector_new(struct soak *soak);
+void fault_injector_step(struct fault_injector *inj);
+void fault_injector_stop(struct fault_injector *inj);
 
-/* soak-check.c: what must hold, as callers and workers saw it. */
-unsigned int check_all(struct soak *k, FILE *out);
+/* soak-check.c: invariants, checked against what callers and workers observed. */
+unsigned int check_invariants(struct soak *soak, FILE *out);
 
 #endif
