--- a/tests/soak/soak-fault.c
+++ b/tests/soak/soak-fault.c
@@ -5,183 +5,191 @@
 #include <string.h>
 
 /*
- * Faults come at random, overlap, and are undone after a while. Each is put on a process from
- * outside: a signal, a relay on its way, or the stand-in of the platform.
+ * Injects faults at random times; faults overlap, and each is reverted after a random time. A
+ * fault is a signal to a process, a change to one of its relays, or a command to the
+ * platform stand-in.
  */
 
+#define FIRST_FAULT_DELAY_NS NSEC_PER_SEC
+/* Time between two injections, and how long a fault stays active. */
+#define INTERVAL_MIN_MS 100
+#define INTERVAL_MAX_MS 1800
+#define DURATION_MIN_MS 200
+#define DURATION_MAX_MS 5000
+
 enum fault_kind {
 	FAULT_KILL,
-	FAULT_RESTART, /* a planned stop, and a start */
+	FAULT_RESTART, /* orderly stop, then start */
 	FAULT_PAUSE,
 	FAULT_STORE_LINK,
 	FAULT_WORKER_LINK,
 	FAULT_STORE_DOWN,
-	FAULT_STORE_ANSWERS,
-	FAULT_LATE_ORDERS,
+	FAULT_STORE_REPLIES_LOST,
+	FAULT_LATE_STARTS,
 	FAULT_WORKER_CRASH,
-	FAULT_KINDS
+	FAULT_KIND_COUNT
 };
 
-static const char *const fault_names[FAULT_KINDS] = {"kill", "restart", "pause", "store-link",
-	"worker-link", "store-down", "store-answers", "late-orders", "worker-crash"};
+static const char *const fault_names[FAULT_KIND_COUNT] = {"kill", "restart", "pause",
+	"store-link", "worker-link", "store-down", "store-answers", "late-orders",
+	"worker-crash"};
 
-/* A fault that is to be undone. */
+/* A fault that is active until end_at. */
 struct fault {
 	enum fault_kind kind;
 	struct soak_node *node;
-	int64_t until;
+	int64_t end_at;
 };
 
 struct fault_injector {
 	struct soak *soak;
-	GArray *open;
-	int64_t next;
+	GArray *active;
+	int64_t next_fault_at;
 };
 
-/* Nanoseconds between two bounds in milliseconds. */
-static int64_t span(struct fault_injector *f, int from_ms, int to_ms)
+/* Draws a duration in nanoseconds between two bounds in milliseconds. */
+static int64_t random_duration(struct fault_injector *inj, int from_ms, int to_ms)
 {
-	return g_rand_int_range(f->soak->rand, from_ms, to_ms) * NSEC_PER_MSEC;
+	return g_rand_int_range(inj->soak->rand, from_ms, to_ms) * NSEC_PER_MSEC;
 }
 
-static void control(struct fault_injector *f, const char *text)
+/* Sends a command to the platform stand-in. */
+static void control_platform(struct fault_injector *inj, const char *command)
 {
-	client_put(f->soak->platform_addr, "/control", text, NULL);
+	client_put(inj->soak->platform_addr, "/control", command, NULL);
 }
 
-/* Whether a fault on a node is open. */
-static bool is_open(const struct fault_injector *f, const struct soak_node *n)
+static bool has_active_fault(const struct fault_injector *inj, const struct soak_node *node)
 {
-	for (guint i = 0; i < f->open->len; i++) {
-		if (g_array_index(f->open, struct fault, i).node == n)
+	for (guint i = 0; i < inj->active->len; i++) {
+		if (g_array_index(inj->active, struct fault, i).node == node)
 			return true;
 	}
 	return false;
 }
 
-/* Undo a fault. */
-static void undo(struct fault_injector *f, const struct fault *x)
+static void revert_fault(struct fault_injector *inj, const struct fault *fault)
 {
-	switch (x->kind) {
+	switch (fault->kind) {
 	case FAULT_KILL:
-		proc_restart(&f->soak->scenario, x->node->proc);
+		proc_restart(&inj->soak->scenario, fault->node->proc);
 		break;
 	case FAULT_RESTART:
-		proc_reap(x->node->proc, 8 * NSEC_PER_SEC);
-		proc_restart(&f->soak->scenario, x->node->proc);
+		proc_reap(fault->node->proc, SOAK_STOP_TIMEOUT_NS);
+		proc_restart(&inj->soak->scenario, fault->node->proc);
 		break;
 	case FAULT_PAUSE:
-		proc_signal(&f->soak->scenario, x->node->proc, SIGCONT);
+		proc_signal(&inj->soak->scenario, fault->node->proc, SIGCONT);
 		break;
 	case FAULT_STORE_LINK:
-		relay_set(x->node->store_relay, RELAY_OPEN);
+		relay_set(fault->node->store_relay, RELAY_OPEN);
 		break;
 	case FAULT_WORKER_LINK:
-		relay_set(x->node->worker_relay, RELAY_OPEN);
+		relay_set(fault->node->worker_relay, RELAY_OPEN);
 		break;
 	case FAULT_STORE_DOWN:
-		control(f, "{\"down\":false}");
+		control_platform(inj, "{\"down\":false}");
 		break;
-	case FAULT_STORE_ANSWERS:
-	case FAULT_LATE_ORDERS:
+	case FAULT_STORE_REPLIES_LOST:
+	case FAULT_LATE_STARTS:
 	case FAULT_WORKER_CRASH:
-	case FAULT_KINDS:
+	case FAULT_KIND_COUNT:
 		break;
 	}
 }
 
-/* Put one fault on a node; false where it does not fit. */
-static bool put(struct fault_injector *f, struct fault *x)
+/* Injects a fault; returns false if it does not apply to its node. */
+static bool inject_fault(struct fault_injector *inj, struct fault *fault)
 {
 	static const enum relay_mode modes[] = {
 		RELAY_HOLD, RELAY_CUT, RELAY_ONE_WAY, RELAY_SLOW};
-	enum relay_mode mode = modes[g_rand_int_range(f->soak->rand, 0, ARRAY_LEN(modes))];
-	g_autofree char *text = NULL;
+	enum relay_mode mode = modes[g_rand_int_range(inj->soak->rand, 0, ARRAY_LEN(modes))];
+	g_autofree char *command = NULL;
 
-	switch (x->kind) {
+	switch (fault->kind) {
 	case FAULT_KILL:
-		return proc_signal(&f->soak->scenario, x->node->proc, SIGKILL);
+		return proc_signal(&inj->soak->scenario, fault->node->proc, SIGKILL);
 	case FAULT_RESTART:
-		return proc_signal(&f->soak->scenario, x->node->proc, SIGTERM);
+		return proc_signal(&inj->soak->scenario, fault->node->proc, SIGTERM);
 	case FAULT_PAUSE:
-		return proc_signal(&f->soak->scenario, x->node->proc, SIGSTOP);
+		return proc_signal(&inj->soak->scenario, fault->node->proc, SIGSTOP);
 	case FAULT_STORE_LINK:
-		relay_set(x->node->store_relay, mode);
+		relay_set(fault->node->store_relay, mode);
 		return true;
 	case FAULT_WORKER_LINK:
-		if (x->node->is_entry)
+		if (fault->node->is_entry)
 			return false;
-		relay_set(x->node->worker_relay, mode);
+		relay_set(fault->node->worker_relay, mode);
 		return true;
 	case FAULT_STORE_DOWN:
-		control(f, "{\"down\":true}");
+		control_platform(inj, "{\"down\":true}");
 		return true;
-	case FAULT_STORE_ANSWERS:
-		control(f, "{\"drop_answers\":3}");
+	case FAULT_STORE_REPLIES_LOST:
+		control_platform(inj, "{\"drop_answers\":3}");
 		return true;
-	case FAULT_LATE_ORDERS:
-		control(f, "{\"late_orders\":3}");
+	case FAULT_LATE_STARTS:
+		control_platform(inj, "{\"late_orders\":3}");
 		return true;
 	case FAULT_WORKER_CRASH:
-		if (x->node->is_entry)
+		if (fault->node->is_entry)
 			return false;
-		text = g_strdup_printf("{\"crash\":\"w%d\"}",
-			(int)(x->node - f->soak->nodes) - SOAK_ENTRIES + 1);
-		control(f, text);
-		/* A worker's connections end with it, and what was under way on them. */
-		relay_reset(x->node->worker_relay);
+		command = g_strdup_printf("{\"crash\":\"w%d\"}",
+			(int)(fault->node - inj->soak->nodes) - SOAK_ENTRIES + 1);
+		control_platform(inj, command);
+		/* A crash also closes the worker's connections and drops the data in transit.
+		 */
+		relay_reset(fault->node->worker_relay);
 		return true;
-	case FAULT_KINDS:
+	case FAULT_KIND_COUNT:
 		break;
 	}
 	return false;
 }
 
-/* Faults that come about so often. */
 struct fault_injector *fault_injector_new(struct soak *soak)
 {
-	struct fault_injector *f = xcalloc(1, sizeof(*f));
+	struct fault_injector *inj = xcalloc(1, sizeof(*inj));
 
-	f->soak = soak;
-	f->open = g_array_new(FALSE, FALSE, sizeof(struct fault));
-	f->next = now_ns() + NSEC_PER_SEC;
-	return f;
+	inj->soak = soak;
+	inj->active = g_array_new(FALSE, FALSE, sizeof(struct fault));
+	inj->next_fault_at = now_ns() + FIRST_FAULT_DELAY_NS;
+	return inj;
 }
 
-/* Undo what is due, and perhaps put another fault. */
-void fault_injector_step(struct fault_injector *f)
+/* Reverts faults that have expired and injects the next one if it is due. */
+void fault_injector_step(struct fault_injector *inj)
 {
-	struct fault x = {0};
+	struct fault fault = {0};
 
-	for (guint i = f->open->len; i > 0; i--) {
-		struct fault was = g_array_index(f->open, struct fault, i - 1);
+	for (guint i = inj->active->len; i > 0; i--) {
+		struct fault expired = g_array_index(inj->active, struct fault, i - 1);
 
-		if (now_ns() < was.until)
+		if (now_ns() < expired.end_at)
 			continue;
-		g_array_remove_index(f->open, i - 1);
-		undo(f, &was);
+		g_array_remove_index(inj->active, i - 1);
+		revert_fault(inj, &expired);
 	}
-	if (now_ns() < f->next)
+	if (now_ns() < inj->next_fault_at)
 		return;
-	f->next = now_ns() + span(f, 100, 1800);
-	x.kind = (enum fault_kind)g_rand_int_range(f->soak->rand, 0, FAULT_KINDS);
-	x.node = &f->soak->nodes[g_rand_int_range(
-		f->soak->rand, 0, (gint32)ARRAY_LEN(f->soak->nodes))];
-	x.until = now_ns() + span(f, 200, 5000);
-	if (is_open(f, x.node) || !put(f, &x))
+	inj->next_fault_at = now_ns() + random_duration(inj, INTERVAL_MIN_MS, INTERVAL_MAX_MS);
+	fault.kind = (enum fault_kind)g_rand_int_range(inj->soak->rand, 0, FAULT_KIND_COUNT);
+	fault.node = &inj->soak->nodes[g_rand_int_range(
+		inj->soak->rand, 0, (gint32)ARRAY_LEN(inj->soak->nodes))];
+	fault.end_at = now_ns() + random_duration(inj, DURATION_MIN_MS, DURATION_MAX_MS);
+	if (has_active_fault(inj, fault.node) || !inject_fault(inj, &fault))
 		return;
-	f->soak->faults++;
-	printf("fault kind=%s node=%s for_ms=%lld\n", fault_names[x.kind], x.node->proc->name,
-		(long long)((x.until - now_ns()) / NSEC_PER_MSEC));
-	g_array_append_val(f->open, x);
+	inj->soak->faults++;
+	printf("fault kind=%s node=%s for_ms=%lld\n", fault_names[fault.kind],
+		fault.node->proc->name, (long long)((fault.end_at - now_ns()) / NSEC_PER_MSEC));
+	g_array_append_val(inj->active, fault);
 }
 
-/* Undo all. */
-void fault_injector_stop(struct fault_injector *f)
+/* Reverts all faults and frees the injector. */
+void fault_injector_stop(struct fault_injector *inj)
 {
-	for (guint i = 0; i < f->open->len; i++)
-		undo(f, &g_array_index(f->open, struct fault, i));
-	control(f, "{\"down\":false,\"drop_answers\":0,\"late_orders\":0}");
-	g_array_free(f->open, TRUE);
-	free(f);
+	for (guint i = 0; i < inj->active->len; i++)
+		revert_fault(inj, &g_array_index(inj->active, struct fault, i));
+	control_platform(inj, "{\"down\":false,\"drop_answers\":0,\"late_orders\":0}");
+	g_array_free(inj->active, TRUE);
+	free(inj);
 }
