--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# Workspace of packages. make, make check, make demo; see README.md.
+# Builds the packages, tests and benchmarks. Main targets: all, check, demo; see README.md.
 CC      = gcc
 CXX     = g++
 BUILD  ?= build/release
@@ -58,16 +58,16 @@
 bench-policy: $(BUILD)/bench-policy
 	@$(BUILD)/bench-policy
 
-SCEN_OBJS = $(patsubst tests/%.c,$(BUILD)/tests/%.o,$(wildcard tests/scenario/*.c))
+SCENARIO_OBJS = $(patsubst tests/%.c,$(BUILD)/tests/%.o,$(wildcard tests/scenario/*.c))
 
 $(BUILD)/tests/%.o: tests/%.c
 	@mkdir -p $(@D)
 	@echo "CC $<"; $(CC) $(CFLAGS) $(WARN) -MMD -c -o $@ $<
 
-$(BUILD)/run-scenario: $(SCEN_OBJS) $(LIB)
+$(BUILD)/run-scenario: $(SCENARIO_OBJS) $(LIB)
 	$(CC) $(CFLAGS) -o $@ $^ $(LIBS)
 
-# The soak shares processes, relays and calls with the scenarios.
+# The soak test uses the process, relay and client code of the scenario runner.
 SOAK_OBJS = $(patsubst tests/%.c,$(BUILD)/tests/%.o,$(wildcard tests/soak/*.c)) \
 	$(foreach f,proc relay client,$(BUILD)/tests/scenario/$(f).o)
 
