--- a/packages/workload/wl-config.c
+++ b/packages/workload/wl-config.c
@@ -30,8 +30,8 @@
 
 	c->queues = g_ptr_array_new_with_free_func(queue_free);
 	c->orgs = g_ptr_array_new_with_free_func(org_free);
-	c->by_key = g_hash_table_new(g_str_hash, g_str_equal);
-	c->by_name = g_hash_table_new(g_str_hash, g_str_equal);
+	c->orgs_by_key = g_hash_table_new(g_str_hash, g_str_equal);
+	c->queues_by_name = g_hash_table_new(g_str_hash, g_str_equal);
 	return c;
 }
 
@@ -39,7 +39,7 @@
 void wl_config_add_queue(struct wl_config *c, struct wl_queue *q)
 {
 	g_ptr_array_add(c->queues, q);
-	g_hash_table_replace(c->by_name, q->name, q);
+	g_hash_table_replace(c->queues_by_name, q->name, q);
 }
 
 /* Adds an organisation with its keys and takes ownership of it. */
@@ -47,15 +47,15 @@
 {
 	g_ptr_array_add(c->orgs, o);
 	for (guint i = 0; i < o->keys->len; i++)
-		g_hash_table_replace(c->by_key, o->keys->pdata[i], o);
+		g_hash_table_replace(c->orgs_by_key, o->keys->pdata[i], o);
 }
 
 void wl_config_free(struct wl_config *c)
 {
 	if (c == NULL)
 		return;
-	g_hash_table_destroy(c->by_key);
-	g_hash_table_destroy(c->by_name);
+	g_hash_table_destroy(c->orgs_by_key);
+	g_hash_table_destroy(c->queues_by_name);
 	g_ptr_array_unref(c->queues);
 	g_ptr_array_unref(c->orgs);
 	free(c);
@@ -64,7 +64,7 @@
 /* Returns the queue with a name, or NULL. */
 const struct wl_queue *wl_config_queue(const struct wl_config *c, const char *name)
 {
-	return c != NULL && name != NULL ? g_hash_table_lookup(c->by_name, name) : NULL;
+	return c != NULL && name != NULL ? g_hash_table_lookup(c->queues_by_name, name) : NULL;
 }
 
 /*
@@ -96,7 +96,7 @@
 /* Returns the organisation that an API key belongs to, or NULL. */
 const struct wl_org *wl_config_key(const struct wl_config *c, const char *key)
 {
-	return key != NULL ? g_hash_table_lookup(c->by_key, key) : NULL;
+	return key != NULL ? g_hash_table_lookup(c->orgs_by_key, key) : NULL;
 }
 
 /* Returns the organisation with a name, or NULL. */
--- a/packages/workload/wl-headroom.c
+++ b/packages/workload/wl-headroom.c
@@ -18,7 +18,7 @@
 {
 	double size = 0;
 
-	if (j->priority != 0 || j->spec.steps_len == 0)
+	if (j->priority != URGENT_PRIORITY || j->spec.steps_len == 0)
 		return;
 	size = (double)j->spec.steps[0].count * j->spec.steps[0].accelerators;
 	w->mean_urgent_size =
@@ -28,15 +28,15 @@
 }
 
 /* The worker with the most free accelerators, then cores, that is not yet headroom. */
-static struct wl_node *least_used_worker(struct wl *w)
+static struct wl_node *worker_with_most_free(struct wl *w)
 {
 	struct wl_node *best = NULL;
 
 	for (guint i = 0; i < w->nodes->len; i++) {
 		struct wl_node *n = w->nodes->pdata[i];
 
-		if (n->headroom || !n->linked || n->draining || n->left || n->life == NULL ||
-			n->capacity.accelerators == 0)
+		if (n->headroom || !n->linked || n->draining || n->has_left ||
+			n->instance_id == NULL || n->capacity.accelerators == 0)
 			continue;
 		if (best == NULL || n->free.accelerators > best->free.accelerators ||
 			(n->free.accelerators == best->free.accelerators &&
@@ -55,7 +55,7 @@
 	for (guint i = 0; i < w->nodes->len; i++)
 		((struct wl_node *)w->nodes->pdata[i])->headroom = false;
 	while (needed > 0 && workers_max-- > 0) {
-		struct wl_node *n = least_used_worker(w);
+		struct wl_node *n = worker_with_most_free(w);
 
 		if (n == NULL)
 			return;
--- a/packages/workload/wl-health.c
+++ b/packages/workload/wl-health.c
@@ -78,7 +78,7 @@
 	int64_t since = MAX(t->progress_at, t->running_at);
 
 	if (t->phase != TASK_RUNNING || t->unit->step->long_running || t->percent >= 100 ||
-		t->pace < 100 || t->unit->step->filler)
+		t->pace_percent < 100 || t->unit->step->filler)
 		return false;
 	return since > 0 && now - since > STALL_TIMEOUT;
 }
@@ -109,9 +109,9 @@
 	for (guint i = 0; i < w->nodes->len; i++) {
 		struct wl_node *n = w->nodes->pdata[i];
 
-		if (!n->linked || n->life == NULL)
+		if (!n->linked || n->instance_id == NULL)
 			continue;
-		if (n->draining && !n->left)
+		if (n->draining && !n->has_left)
 			stop_before_drain(n, now);
 		stop_stalled_runs(n, now);
 	}
--- a/packages/workload/wl-job.c
+++ b/packages/workload/wl-job.c
@@ -78,13 +78,13 @@
 		u->step = &j->spec.steps[s];
 		u->occurrence = k;
 		u->step_index = s;
-		u->waiting = u->step->count;
+		u->waiting_count = u->step->count;
 		u->ready_at = u->step->after_len == 0 ? now : 0;
 		u->tasks = xcalloc(u->step->count, sizeof(*u->tasks));
 		for (uint32_t i = 0; i < u->step->count; i++) {
 			u->tasks[i].unit = u;
 			u->tasks[i].index = i;
-			u->tasks[i].pace = 100;
+			u->tasks[i].pace_percent = 100;
 			u->tasks[i].waiting_since = now;
 		}
 	}
@@ -137,10 +137,10 @@
 }
 
 /* Starts a new version of a job's progress and requests that it be stored. */
-void job_dirty(struct wl_job *j)
+void job_request_store(struct wl_job *j)
 {
 	j->version++;
-	j->wl->out.dirty(j->wl->out.arg, j->spec.id);
+	j->wl->callbacks.dirty(j->wl->callbacks.arg, j->spec.id);
 }
 
 /*
@@ -156,7 +156,7 @@
 		return;
 	t->phase = TASK_UNCONFIRMED;
 	t->unconfirmed_node = n;
-	t->unit->waiting--;
+	t->unit->waiting_count--;
 }
 
 /* Applies a stored mark to its unit or task; the occurrence must have been opened. */
@@ -179,8 +179,8 @@
 		}
 		if (m->done) {
 			u->is_done = true;
-			u->done = u->step->count;
-			u->waiting = 0;
+			u->done_count = u->step->count;
+			u->waiting_count = 0;
 		}
 		return;
 	}
@@ -195,9 +195,9 @@
 		mark_unconfirmed(&u->tasks[m->index], m);
 	if (m->done && u->tasks[m->index].phase != TASK_DONE) {
 		u->tasks[m->index].phase = TASK_DONE;
-		u->done++;
-		u->waiting--;
-		u->is_done = u->done == u->step->count;
+		u->done_count++;
+		u->waiting_count--;
+		u->is_done = u->done_count == u->step->count;
 	}
 }
 
@@ -246,7 +246,7 @@
 	event_log(EV_JOB_END, "job=%s state=%s why=\"%s\" after_ms=%" PRId64, j->spec.id,
 		wl_state_name(state), why, (now - j->added_at) / NSEC_PER_MSEC);
 	job_stop_runs(j, now, why);
-	job_dirty(j);
+	job_request_store(j);
 }
 
 /* Cancels a job unless it has ended. */
@@ -428,7 +428,7 @@
 
 	w->term = term;
 	w->limits = *limits;
-	w->out = *out;
+	w->callbacks = *out;
 	w->jobs = g_hash_table_new(g_str_hash, g_str_equal);
 	w->nodes = g_ptr_array_new();
 	TAILQ_INIT(&w->list);
@@ -446,7 +446,7 @@
 		struct wl_node *n = w->nodes->pdata[i];
 
 		free(n->name);
-		free(n->life);
+		free(n->instance_id);
 		free(n->service);
 		free(n->rack);
 		g_ptr_array_unref(n->labels);
--- a/packages/workload/wl-node.c
+++ b/packages/workload/wl-node.c
@@ -70,7 +70,7 @@
 	struct wl_node *n = node_get_or_create(w, name);
 
 	n->awaiting_report = true;
-	n->silent_at = now;
+	n->last_contact_at = now;
 }
 
 /*
@@ -89,7 +89,7 @@
 }
 
 /* Detaches all tasks of a node whose runs have ended with unknown outcomes. */
-void node_lose_tasks(struct wl_node *n, int64_t now, const char *why)
+void node_drop_runs(struct wl_node *n, int64_t now, const char *why)
 {
 	struct wl_task *t;
 	unsigned int lost = 0;
@@ -104,7 +104,7 @@
 	}
 	g_ptr_array_set_size(n->orphans, 0);
 	event_log(EV_WORKER_GONE, "node=%s life=%s why=\"%s\" tasks=%u", n->name,
-		n->life ? n->life : "-", why, lost);
+		n->instance_id ? n->instance_id : "-", why, lost);
 }
 
 /* Returns a worker's failure score, decayed to now. */
@@ -134,8 +134,8 @@
 /* Whether a worker accepts new tasks. */
 bool node_usable(const struct wl_node *n, int64_t now)
 {
-	return n->linked && !n->draining && !n->left && !n->awaiting_report &&
-	       n->life != NULL && n->blocked_until <= now;
+	return n->linked && !n->draining && !n->has_left && !n->awaiting_report &&
+	       n->instance_id != NULL && n->blocked_until <= now;
 }
 
 /* Replaces a string by a copy of another. */
@@ -150,12 +150,12 @@
 /* Resets the state of a worker whose process has started again; its earlier runs are lost. */
 static void start_new_instance(struct wl_node *n, int64_t now, const char *life)
 {
-	if (n->life != NULL)
-		node_lose_tasks(n, now, "the worker has restarted");
-	set_string(&n->life, life);
-	n->ends_seen = 0;
-	n->ends_stored = 0;
-	n->ends_acked = 0;
+	if (n->instance_id != NULL)
+		node_drop_runs(n, now, "the worker has restarted");
+	set_string(&n->instance_id, life);
+	n->last_end_processed = 0;
+	n->last_end_stored = 0;
+	n->last_end_acked = 0;
 	n->failure_score = 0;
 	n->blocked_until = 0;
 	g_array_set_size(n->pending_ends, 0);
@@ -172,7 +172,7 @@
 	n->capacity = (struct wl_resources){.cores_m = r->cores_m,
 		.memory_mb = r->memory_mb,
 		.accelerators = r->accelerators};
-	n->left = r->left;
+	n->has_left = r->left;
 	if (r->draining && !n->draining)
 		event_log(EV_WORKER_DRAIN, "node=%s life=%s remaining_ms=%u", n->name, r->life,
 			r->leaves_in_ms);
@@ -191,10 +191,10 @@
 		struct wl_pending_end pending = {.number = r->ends[i].number};
 		struct wl_task *t;
 
-		if (pending.number <= n->ends_seen)
+		if (pending.number <= n->last_end_processed)
 			continue;
 		wl_run_ended(n->wl, n, now, wall, &r->ends[i]);
-		n->ends_seen = pending.number;
+		n->last_end_processed = pending.number;
 		t = job_task(n->wl, r->ends[i].task, now);
 		pending.job = t != NULL ? t->unit->job : NULL;
 		pending.version = pending.job != NULL ? pending.job->version : 0;
@@ -241,12 +241,12 @@
 		return;
 	orphan->stop_sent = now;
 	order = (struct wl_stop_order){.term = n->wl->term,
-		.life = n->life,
+		.life = n->instance_id,
 		.task = orphan->task,
 		.attempt = orphan->attempt};
 	event_log(EV_TASK_STOP, "task=%s attempt=%u node=%s why=\"not the current run\" for=-",
 		orphan->task, orphan->attempt, n->name);
-	n->wl->out.stop(n->wl->out.arg, n->name, &order);
+	n->wl->callbacks.stop(n->wl->callbacks.arg, n->name, &order);
 }
 
 /*
@@ -290,7 +290,7 @@
 		task_confirm_running(t, now);
 		t->seen_serial = n->report_serial;
 		task_record_progress(t, now, run->percent);
-		t->figure = run->figure;
+		t->measurement = run->figure;
 		record_checkpoint(t, run->checkpoint);
 		if (t->phase == TASK_STOPPING ||
 			(t->phase == TASK_DONE && !t->unit->step->gang))
@@ -342,21 +342,21 @@
 	if (r->node == NULL || r->life == NULL)
 		return;
 	n = node_get_or_create(w, r->node);
-	was_connected = n->linked && n->life != NULL;
+	was_connected = n->linked && n->instance_id != NULL;
 	was_usable = node_usable(n, now);
 	capacity = n->capacity;
-	if (n->life == NULL || strcmp(n->life, r->life) != 0)
+	if (n->instance_id == NULL || strcmp(n->instance_id, r->life) != 0)
 		start_new_instance(n, now, r->life);
 	update_node_state(n, now, r);
 	n->linked = true;
-	n->silent_at = now;
+	n->last_contact_at = now;
 	n->report_serial++;
 	process_ended_runs(n, now, wall, r);
 	reconcile_runs(n, now, r);
 	node_release_unconfirmed(n, now);
 	handle_missing_runs(n, now, r);
 	if (r->left && TAILQ_FIRST(&n->tasks) != NULL)
-		node_lose_tasks(n, now, "the worker has left");
+		node_drop_runs(n, now, "the worker has left");
 	if (node_usable(n, now) != was_usable ||
 		memcmp(&capacity, &n->capacity, sizeof(capacity)) != 0)
 		w->changed = true;
@@ -364,7 +364,7 @@
 		event_log(EV_WORKER_UP,
 			"node=%s life=%s rack=%s cores_m=%u memory_mb=%u accelerators=%u "
 			"runs=%u",
-			n->name, n->life, n->rack ? n->rack : "-", n->capacity.cores_m,
+			n->name, n->instance_id, n->rack ? n->rack : "-", n->capacity.cores_m,
 			n->capacity.memory_mb, n->capacity.accelerators, r->runs_len);
 }
 
@@ -379,9 +379,9 @@
 	if (n == NULL || !n->linked)
 		return;
 	n->linked = false;
-	n->silent_at = now;
+	n->last_contact_at = now;
 	event_log(EV_WORKER_SILENT, "node=%s life=%s until_ms=%" PRId64, n->name,
-		n->life ? n->life : "-", w->limits.silence_max / NSEC_PER_MSEC);
+		n->instance_id ? n->instance_id : "-", w->limits.silence_max / NSEC_PER_MSEC);
 }
 
 /*
@@ -395,21 +395,21 @@
 	for (guint i = 0; i < w->nodes->len; i++) {
 		struct wl_node *n = w->nodes->pdata[i];
 
-		if (n->left && n->life != NULL) {
+		if (n->has_left && n->instance_id != NULL) {
 			g_ptr_array_add(out, g_strdup(n->name));
-			free(n->life);
-			n->life = NULL;
+			free(n->instance_id);
+			n->instance_id = NULL;
 			continue;
 		}
-		if (n->linked || now - n->silent_at <= w->limits.silence_max)
+		if (n->linked || now - n->last_contact_at <= w->limits.silence_max)
 			continue;
 		if (n->awaiting_report || TAILQ_FIRST(&n->tasks) != NULL || n->orphans->len > 0)
-			node_lose_tasks(n, now, "the leases have expired");
-		if (n->awaiting_report || n->life != NULL)
+			node_drop_runs(n, now, "the leases have expired");
+		if (n->awaiting_report || n->instance_id != NULL)
 			g_ptr_array_add(out, g_strdup(n->name));
 		node_release_unconfirmed(n, now);
-		free(n->life);
-		n->life = NULL;
+		free(n->instance_id);
+		n->instance_id = NULL;
 	}
 	return out;
 }
@@ -421,8 +421,8 @@
 	struct wl_node *n;
 
 	if (t == NULL || t->node == NULL || t->attempt != a->attempt ||
-		t->ordinal != a->ordinal || a->life == NULL || t->node->life == NULL ||
-		strcmp(t->node->life, a->life) != 0)
+		t->ordinal != a->ordinal || a->life == NULL || t->node->instance_id == NULL ||
+		strcmp(t->node->instance_id, a->life) != 0)
 		return;
 	n = t->node;
 	event_log(EV_TASK_RUN, "task=%s attempt=%u node=%s answer=%s", a->task, a->attempt,
@@ -469,7 +469,7 @@
 	struct wl_node *n = node_find(w, name);
 	guint stored_count = 0;
 
-	if (n == NULL || n->life == NULL)
+	if (n == NULL || n->instance_id == NULL)
 		return false;
 	while (stored_count < n->pending_ends->len) {
 		const struct wl_pending_end *e =
@@ -477,15 +477,15 @@
 
 		if (e->job != NULL && e->job->stored < e->version)
 			break;
-		n->ends_stored = e->number;
+		n->last_end_stored = e->number;
 		stored_count++;
 	}
 	if (stored_count > 0)
 		g_array_remove_range(n->pending_ends, 0, stored_count);
-	if (n->ends_stored <= n->ends_acked)
+	if (n->last_end_stored <= n->last_end_acked)
 		return false;
-	n->ends_acked = n->ends_stored;
-	*life = n->life;
-	*number = n->ends_stored;
+	n->last_end_acked = n->last_end_stored;
+	*life = n->instance_id;
+	*number = n->last_end_stored;
 	return true;
 }
--- a/packages/workload/wl-pass.c
+++ b/packages/workload/wl-pass.c
@@ -56,7 +56,7 @@
 /* A unit that can be placed now, with its sort keys. */
 struct candidate {
 	struct wl_unit *unit;
-	bool entitled;
+	bool within_guarantee;
 	/* Time until it must start to meet its objective; if late, until it expires. */
 	int64_t slack;
 	int lateness; /* UNIT_* */
@@ -103,8 +103,8 @@
 		return a->lateness == UNIT_EXPIRED ? 1 : -1;
 	if (ja->priority != jb->priority)
 		return ja->priority < jb->priority ? -1 : 1;
-	if (a->entitled != b->entitled)
-		return a->entitled ? -1 : 1;
+	if (a->within_guarantee != b->within_guarantee)
+		return a->within_guarantee ? -1 : 1;
 	if (a->lateness != b->lateness)
 		return a->lateness < b->lateness ? -1 : 1;
 	if (a->slack != b->slack)
@@ -122,17 +122,18 @@
 		attached += u->tasks[i].node != NULL;
 		newest = MAX(newest, MAX(u->tasks[i].placed_at, u->tasks[i].waiting_since));
 	}
-	if (attached == 0 || u->waiting == 0 || now - newest < GANG_RESTART_DELAY)
+	if (attached == 0 || u->waiting_count == 0 || now - newest < GANG_RESTART_DELAY)
 		return;
 	unit_stop(u, now, "the gang is incomplete", NULL);
 }
 
 /* Whether a unit has waiting tasks that can be placed now; stops incomplete gangs. */
-static bool can_place(struct wl_unit *u, int64_t now)
+static bool prepare_placement(struct wl_unit *u, int64_t now)
 {
-	if (u->is_done || u->waiting == 0 || u->retry_at > now || !unit_dependencies_met(u))
+	if (u->is_done || u->waiting_count == 0 || u->retry_at > now ||
+		!unit_dependencies_met(u))
 		return false;
-	if (u->step->gang && u->waiting < u->step->count) {
+	if (u->step->gang && u->waiting_count < u->step->count) {
 		stop_incomplete_gang(u, now);
 		return false;
 	}
@@ -150,11 +151,11 @@
 			struct candidate c = {.unit = u};
 			int64_t allowed;
 
-			if (!can_place(u, now))
+			if (!prepare_placement(u, now))
 				continue;
 			if (u->ready_at == 0)
 				u->ready_at = now;
-			c.entitled = s == 0 && unit_entitled(w, u);
+			c.within_guarantee = s == 0 && unit_within_guarantee(w, u);
 			allowed = (int64_t)((double)chain * j->stretch) + j->target;
 			c.slack = j->added_at + allowed - now - critical_path_from(j, s);
 			if (j->spec.repetitions > 0)
@@ -193,7 +194,7 @@
 	}
 	if (j->state == WL_QUEUED)
 		j->state = WL_RUNNING;
-	job_dirty(j);
+	job_request_store(j);
 }
 
 /* Deducts a plan from the other view as well; planning deducted it from the used one. */
@@ -221,7 +222,7 @@
 /* Whether an urgent unit becomes late unless other runs are preempted for it now. */
 static bool needs_preemption(const struct wl *w, const struct candidate *c)
 {
-	return c->unit->job->priority == 0 && c->lateness == UNIT_ON_TIME &&
+	return c->unit->job->priority == URGENT_PRIORITY && c->lateness == UNIT_ON_TIME &&
 	       c->slack < w->limits.stop_max + PREEMPTION_MARGIN;
 }
 
@@ -229,11 +230,11 @@
  * Whether runs that end by themselves free enough resources before an urgent unit becomes late.
  * If so, reserves these resources, and nothing needs to be preempted.
  */
-static bool can_wait(struct wl *w, const struct candidate *c, int64_t now)
+static bool reserve_before_deadline(struct wl *w, const struct candidate *c, int64_t now)
 {
-	int64_t reclaim_deadline = c->unit->job->added_at + w->limits.reclaim_max -
-				   w->limits.stop_max - RECLAIM_MARGIN;
-	int64_t until = MIN(now + c->slack - PREEMPTION_MARGIN, reclaim_deadline);
+	int64_t preemption_deadline = c->unit->job->added_at + w->limits.reclaim_max -
+				      w->limits.stop_max - GUARANTEED_START_MARGIN;
+	int64_t until = MIN(now + c->slack - PREEMPTION_MARGIN, preemption_deadline);
 
 	return c->lateness == UNIT_ON_TIME && until > now &&
 	       reserve_resources(w, c->unit, now, unit_may_spread(w, c->unit, now),
@@ -253,23 +254,23 @@
 	if (try_placement(w, u, now, VIEW_FREE, plan)) {
 		deduct_from_other_view(plan, VIEW_FREE);
 		commit_placements(w, u, plan, now);
-		if (u->waiting == 0)
+		if (u->waiting_count == 0)
 			return;
 		g_array_set_size(plan, 0);
 	}
-	if (u->step->gang || u->job->priority == 0) {
+	if (u->step->gang || u->job->priority == URGENT_PRIORITY) {
 		/* Resources being freed go to waiting units in scheduling order. */
 		if (try_placement(w, u, now, VIEW_AFTER_STOPS, plan) &&
-			plan->len == u->waiting) {
+			plan->len == u->waiting_count) {
 			deduct_from_other_view(plan, VIEW_AFTER_STOPS);
 			return;
 		}
 		placements_undo(plan, 0, VIEW_AFTER_STOPS);
 	}
-	if (c->entitled || needs_preemption(w, c)) {
-		if (can_wait(w, c, now))
+	if (c->within_guarantee || needs_preemption(w, c)) {
+		if (reserve_before_deadline(w, c, now))
 			return;
-		if (reclaim_for_unit(w, u, now, c->entitled, plan)) {
+		if (preempt_for_urgent_unit(w, u, now, c->within_guarantee, plan)) {
 			deduct_from_other_view(plan, VIEW_AFTER_STOPS);
 			return;
 		}
@@ -288,7 +289,7 @@
 		return;
 	j->checkpoints_unsaved = false;
 	j->checkpoints_at = now;
-	job_dirty(j);
+	job_request_store(j);
 }
 
 bool wl_pass_needed(const struct wl *w)
@@ -326,11 +327,11 @@
 	for (guint i = 0; i < order->len; i++) {
 		struct candidate *c = &g_array_index(order, struct candidate, i);
 
-		if (!headroom_selected && c->unit->job->priority > 0) {
+		if (!headroom_selected && c->unit->job->priority > URGENT_PRIORITY) {
 			headroom_select(w);
 			headroom_selected = true;
 		}
-		w->may_use_headroom = c->unit->job->priority == 0 ||
+		w->may_use_headroom = c->unit->job->priority == URGENT_PRIORITY ||
 				      c->lateness > UNIT_ON_TIME || !c->can_defer ||
 				      now - c->unit->ready_at > HEADROOM_WAIT_MAX;
 		schedule_unit(w, c, now, &reservations);
--- a/packages/workload/wl-place.c
+++ b/packages/workload/wl-place.c
@@ -195,7 +195,7 @@
 
 		for (guint k = 0; k < out->len && !known; k++)
 			known = g_strcmp0(out->pdata[k], n->rack) == 0;
-		if (!known && n->rack != NULL && n->life != NULL)
+		if (!known && n->rack != NULL && n->instance_id != NULL)
 			g_ptr_array_add(out, n->rack);
 	}
 	return out;
@@ -212,7 +212,7 @@
 }
 
 /* Accelerators, then cores, that remain free on the workers of a plan. */
-static int64_t stranded_capacity(const GArray *plan, guint from, enum placement_view view)
+static int64_t free_capacity_score(const GArray *plan, guint from, enum placement_view view)
 {
 	int64_t sum = 0;
 
@@ -243,11 +243,11 @@
 		if (only != NULL && strcmp(only, rack) != 0)
 			continue;
 		placed = place_tasks(w, u, now, view, rack, out);
-		cost = stranded_capacity(out, from, view);
+		cost = free_capacity_score(out, from, view);
 		if (u->step->data_rack != NULL && strcmp(u->step->data_rack, rack) != 0)
 			cost += INT32_MAX;
 		placements_undo(out, from, view);
-		if (placed == u->waiting && cost < least) {
+		if (placed == u->waiting_count && cost < least) {
 			least = cost;
 			best = rack;
 		}
@@ -268,7 +268,7 @@
 	if (u->step->rack_local && u->step->data_rack == NULL && !anywhere)
 		return place_in_rack(w, u, now, view, out);
 	placed = place_tasks(w, u, now, view, anywhere ? NULL : u->step->data_rack, out);
-	if (u->step->gang && placed < u->waiting) {
+	if (u->step->gang && placed < u->waiting_count) {
 		placements_undo(out, from, view);
 		return 0;
 	}
@@ -278,13 +278,13 @@
 /* Whether a worker would accept tasks of a unit if it were reachable and healthy. */
 static bool node_potentially_eligible(const struct wl_node *n, const struct wl_unit *u)
 {
-	return !n->left && !n->draining && n->life != NULL &&
+	return !n->has_left && !n->draining && n->instance_id != NULL &&
 	       g_strcmp0(n->service, u->job->service) == 0 &&
 	       (u->step->label == NULL || has_label(n, u->step->label));
 }
 
 /* Whether a rack could hold the unit if it were empty and its workers reachable. */
-bool rack_feasible(const struct wl *w, const struct wl_unit *u)
+bool preferred_rack_possible(const struct wl *w, const struct wl_unit *u)
 {
 	g_autoptr(GPtrArray) racks = list_racks(w);
 	struct wl_resources need = task_need(u->step);
@@ -336,9 +336,9 @@
 	int64_t waited = now - u->ready_at;
 	double lost = (w->limits.remote_penalty - 1) * (double)step_estimate(u->job, u->step);
 
-	if (!unit_prefers_rack(u) || !rack_feasible(w, u) ||
+	if (!unit_prefers_rack(u) || !preferred_rack_possible(w, u) ||
 		(double)waited > SPREAD_WAIT_SHARE * lost)
 		return true;
-	return waited > w->limits.reclaim_max - w->limits.stop_max - RECLAIM_MARGIN &&
-	       unit_entitled(w, u);
+	return waited > w->limits.reclaim_max - w->limits.stop_max - GUARANTEED_START_MARGIN &&
+	       unit_within_guarantee(w, u);
 }
--- a/packages/workload/wl-reclaim.c
+++ b/packages/workload/wl-preempt.c
@@ -19,7 +19,7 @@
 	TAILQ_FOREACH(j, &w->list, entry) {
 		uint64_t largest = 0;
 
-		if (j->priority != 0 || wl_state_ended(j->state) ||
+		if (j->priority != URGENT_PRIORITY || wl_state_ended(j->state) ||
 			g_strcmp0(j->spec.org, org) != 0)
 			continue;
 		for (uint32_t s = 0; s < j->spec.steps_len; s++)
@@ -31,11 +31,11 @@
 }
 
 /* Whether a unit is urgent and its organisation's urgent jobs are within its guarantee. */
-bool unit_entitled(const struct wl *w, const struct wl_unit *u)
+bool unit_within_guarantee(const struct wl *w, const struct wl_unit *u)
 {
 	const struct wl_org *org = wl_config_org(w->config, u->job->spec.org);
 
-	return u->job->priority == 0 && org != NULL && org->guaranteed > 0 &&
+	return u->job->priority == URGENT_PRIORITY && org != NULL && org->guaranteed > 0 &&
 	       urgent_demand(w, org->name) <= org->guaranteed;
 }
 
@@ -44,15 +44,15 @@
  * ones only for a unit within its guarantee and if their own organisation exceeds its
  * guarantee. Units that limit unavailable tasks are never preempted.
  */
-static bool may_preempt(const struct wl *w, const struct wl_unit *u, bool entitled)
+static bool may_preempt(const struct wl *w, const struct wl_unit *u, bool within_guarantee)
 {
 	const struct wl_org *org;
 
 	if (u->is_done || u->step->unavailable_max > 0)
 		return false;
-	if (u->job->priority > 0)
+	if (u->job->priority > URGENT_PRIORITY)
 		return true;
-	if (!entitled)
+	if (!within_guarantee)
 		return false;
 	org = wl_config_org(w->config, u->job->spec.org);
 	return org == NULL || urgent_demand(w, org->name) > org->guaranteed;
@@ -90,8 +90,8 @@
 /* The runs to be stopped for a unit, while they are being selected. */
 struct preemption {
 	GPtrArray *victims;
-	double loss;   /* core-seconds */
-	bool entitled; /* the unit is within its organisation's guarantee */
+	double loss;	       /* core-seconds */
+	bool within_guarantee; /* the unit is within its organisation's guarantee */
 };
 
 /* Whether a task or its gang is already selected. */
@@ -140,7 +140,7 @@
 
 		if ((t->phase != TASK_RUNNING && t->phase != TASK_STARTING &&
 			    t->phase != TASK_PLACED) ||
-			!may_preempt(w, t->unit, c->entitled) || is_victim(c, t))
+			!may_preempt(w, t->unit, c->within_guarantee) || is_victim(c, t))
 			continue;
 		/* Skip runs that free no resource that is short. */
 		if (!((need->accelerators > n->free_after_stops.accelerators &&
@@ -207,7 +207,7 @@
 		struct wl_node *n = w->nodes->pdata[i];
 		struct preemption trial = {.victims = g_ptr_array_copy(c->victims, NULL, NULL),
 			.loss = c->loss,
-			.entitled = c->entitled};
+			.within_guarantee = c->within_guarantee};
 		double loss;
 
 		if (node_eligible(n, u) && (rack == NULL || g_strcmp0(rack, n->rack) == 0) &&
@@ -277,7 +277,8 @@
 	const struct wl_step *s = u->step;
 	double cores = s->cores_m / 1000.0 + ACCELERATOR_CORES * (double)s->accelerators;
 
-	return cores * u->waiting * (double)step_estimate(u->job, s) / (double)NSEC_PER_SEC;
+	return cores * u->waiting_count * (double)step_estimate(u->job, s) /
+	       (double)NSEC_PER_SEC;
 }
 
 /*
@@ -285,9 +286,11 @@
  * a unit that is not within its guarantee, the lost work never exceeds its own. Appends its
  * placements to the plan, on VIEW_AFTER_STOPS.
  */
-bool reclaim_for_unit(struct wl *w, struct wl_unit *u, int64_t now, bool entitled, GArray *plan)
+bool preempt_for_urgent_unit(
+	struct wl *w, struct wl_unit *u, int64_t now, bool within_guarantee, GArray *plan)
 {
-	struct preemption c = {.victims = g_ptr_array_new(), .entitled = entitled};
+	struct preemption c = {
+		.victims = g_ptr_array_new(), .within_guarantee = within_guarantee};
 	g_autoptr(GPtrArray) victims = c.victims;
 	guint from = plan->len;
 	bool ok = false;
@@ -300,7 +303,7 @@
 		preemption_undo(&c, plan, from);
 		ok = preempt_for_unit(w, u, now, NULL, &c, plan);
 	}
-	if (!ok || (!entitled && c.loss > waiting_work(u))) {
+	if (!ok || (!within_guarantee && c.loss > waiting_work(u))) {
 		preemption_undo(&c, plan, from);
 		return false;
 	}
--- a/packages/workload/wl-private.h
+++ b/packages/workload/wl-private.h
@@ -6,11 +6,17 @@
 #include <stdlib.h>
 #include <string.h>
 
+/*
+ * Priority of urgent jobs: a job is urgent if its queue has this priority. Only urgent jobs can
+ * preempt other runs and count towards the guarantee of their organisation.
+ */
+#define URGENT_PRIORITY 0
+
 /*
  * Time that a guaranteed start takes in addition to stopping other runs: two messages, one
  * store write and one retry of a message whose answer was lost.
  */
-#define RECLAIM_MARGIN (900 * NSEC_PER_MSEC)
+#define GUARANTEED_START_MARGIN (900 * NSEC_PER_MSEC)
 
 /* Resources that a task requires or that a worker has. */
 struct wl_resources {
@@ -70,8 +76,8 @@
 	/* First known progress and its time; a resumed run does not start at 0 percent. */
 	uint32_t base_percent;
 	int64_t base_at;
-	uint32_t pace;
-	uint32_t figure;
+	uint32_t pace_percent;
+	uint32_t measurement;
 	/* The worker that last failed or refused the task; used only if no other fits. */
 	const struct wl_node *avoid_node;
 	TAILQ_ENTRY(wl_task) on_node;
@@ -84,8 +90,8 @@
 	uint32_t occurrence;
 	uint32_t step_index;
 	struct wl_task *tasks;
-	uint32_t done;
-	uint32_t waiting;
+	uint32_t done_count;
+	uint32_t waiting_count;
 	/* Last attempt of any task; failures of a gang as a whole. */
 	uint32_t attempt;
 	uint32_t failures;
@@ -141,7 +147,7 @@
 struct wl_node {
 	struct wl *wl;
 	char *name;
-	char *life;
+	char *instance_id;
 	char *service;
 	char *rack;
 	GPtrArray *labels;
@@ -149,17 +155,17 @@
 	bool awaiting_report; /* may run tasks of an earlier coordinator; no report yet */
 	bool linked;	      /* its agent is connected */
 	bool draining;
-	bool left;
+	bool has_left;
 	int64_t drain_until;
-	int64_t silent_at;
+	int64_t last_contact_at;
 	int64_t blocked_until;
 	double failure_score; /* failure score as of failure_score_at; decays over time */
 	int64_t failure_score_at;
 	uint64_t report_serial; /* number of reports received */
 	/* Numbers of finished runs: processed, stored, and acknowledged to the worker. */
-	uint64_t ends_seen;
-	uint64_t ends_stored;
-	uint64_t ends_acked;
+	uint64_t last_end_processed;
+	uint64_t last_end_stored;
+	uint64_t last_end_acked;
 	GArray *pending_ends;
 	GPtrArray *orphans;
 	struct wl_available free;	      /* unallocated; recomputed by each pass */
@@ -179,7 +185,7 @@
 struct wl {
 	uint64_t term;
 	struct wl_limits limits;
-	struct wl_callbacks out;
+	struct wl_callbacks callbacks;
 	const struct wl_config *config;
 	GHashTable *jobs;
 	TAILQ_HEAD(, wl_job) list;
@@ -203,7 +209,7 @@
 struct wl_resources task_need(const struct wl_step *s);
 void job_update_settings(struct wl_job *j);
 void job_open_due_occurrences(struct wl_job *j, int64_t now, int64_t wall);
-void job_dirty(struct wl_job *j);
+void job_request_store(struct wl_job *j);
 void job_finish(
 	struct wl_job *j, int64_t now, int64_t wall, enum wl_state state, const char *why);
 int64_t job_next_due(const struct wl_job *j);
@@ -226,7 +232,7 @@
 
 /* wl-node.c */
 struct wl_node *node_find(const struct wl *w, const char *name);
-void node_lose_tasks(struct wl_node *n, int64_t now, const char *why);
+void node_drop_runs(struct wl_node *n, int64_t now, const char *why);
 bool node_usable(const struct wl_node *n, int64_t now);
 double node_failure_score(const struct wl_node *n, int64_t now);
 void node_record_failure(struct wl_node *n, int64_t now);
@@ -252,7 +258,7 @@
 bool below_worker_limit(const struct wl_unit *u, const struct wl_node *n, const GArray *plan);
 void placements_undo(GArray *plan, guint from, enum placement_view view);
 GPtrArray *list_racks(const struct wl *w);
-bool rack_feasible(const struct wl *w, const struct wl_unit *u);
+bool preferred_rack_possible(const struct wl *w, const struct wl_unit *u);
 bool unit_prefers_rack(const struct wl_unit *u);
 bool unit_may_spread(const struct wl *w, const struct wl_unit *u, int64_t now);
 
@@ -280,9 +286,9 @@
 void task_record_progress(struct wl_task *t, int64_t now, uint32_t percent);
 void health_check(struct wl *w, int64_t now);
 
-/* wl-reclaim.c */
-bool reclaim_for_unit(
-	struct wl *w, struct wl_unit *u, int64_t now, bool entitled, GArray *plan);
-bool unit_entitled(const struct wl *w, const struct wl_unit *u);
+/* wl-preempt.c */
+bool preempt_for_urgent_unit(
+	struct wl *w, struct wl_unit *u, int64_t now, bool within_guarantee, GArray *plan);
+bool unit_within_guarantee(const struct wl *w, const struct wl_unit *u);
 
 #endif
--- a/packages/workload/wl-reserve.c
+++ b/packages/workload/wl-reserve.c
@@ -109,7 +109,7 @@
 	const char *rack, GArray *out)
 {
 	struct wl_resources need = task_need(u->step);
-	uint32_t remaining = u->waiting;
+	uint32_t remaining = u->waiting_count;
 	int64_t last = now;
 
 	g_array_set_size(out, 0);
--- a/packages/workload/wl-run.c
+++ b/packages/workload/wl-run.c
@@ -27,7 +27,7 @@
 void task_attach(struct wl_task *t, struct wl_node *n, uint32_t attempt)
 {
 	if (t->phase == TASK_WAITING)
-		t->unit->waiting--;
+		t->unit->waiting_count--;
 	t->unconfirmed_node = NULL;
 	t->node = n;
 	t->attempt = attempt;
@@ -50,14 +50,14 @@
 	t->progress_at = 0;
 	t->base_percent = 0;
 	t->base_at = 0;
-	t->figure = 0;
-	t->pace = 100;
+	t->measurement = 0;
+	t->pace_percent = 100;
 	if (t->phase == TASK_DONE || t->phase == TASK_WAITING)
 		return;
 	t->phase = TASK_WAITING;
 	t->unconfirmed_node = NULL;
 	t->waiting_since = now;
-	t->unit->waiting++;
+	t->unit->waiting_count++;
 }
 
 /* Makes an unconfirmed task wait again, as it is known not to be running. */
@@ -116,12 +116,12 @@
 	t->stop_sent = now;
 	name = task_name(t);
 	o = (struct wl_stop_order){.term = t->unit->job->wl->term,
-		.life = t->node->life,
+		.life = t->node->instance_id,
 		.task = name,
 		.attempt = t->attempt};
 	event_log(EV_TASK_STOP, "task=%s attempt=%u node=%s why=\"%s\" for=%s", name,
 		t->attempt, t->node->name, why, beneficiary != NULL ? beneficiary : "-");
-	t->unit->job->wl->out.stop(t->unit->job->wl->out.arg, t->node->name, &o);
+	t->unit->job->wl->callbacks.stop(t->unit->job->wl->callbacks.arg, t->node->name, &o);
 }
 
 /*
@@ -139,14 +139,14 @@
 	t->stop_sent = now;
 	name = task_name(t);
 	o = (struct wl_stop_order){.term = t->unit->job->wl->term,
-		.life = t->node->life,
+		.life = t->node->instance_id,
 		.task = name,
 		.attempt = t->attempt,
 		.ordinal = t->ordinal};
 	event_log(EV_TASK_STOP,
 		"task=%s attempt=%u node=%s why=\"the start was not answered\" for=-", name,
 		t->attempt, t->node->name);
-	t->unit->job->wl->out.stop(t->unit->job->wl->out.arg, t->node->name, &o);
+	t->unit->job->wl->callbacks.stop(t->unit->job->wl->callbacks.arg, t->node->name, &o);
 }
 
 /* Stops all runs of a unit. */
@@ -206,9 +206,9 @@
 	if (t->phase == TASK_DONE)
 		return;
 	if (t->phase == TASK_WAITING)
-		t->unit->waiting--;
+		t->unit->waiting_count--;
 	t->phase = TASK_DONE;
-	t->unit->done++;
+	t->unit->done_count++;
 }
 
 /*
@@ -228,9 +228,9 @@
 	}
 	for (uint32_t i = 0; u->step->gang && i < u->step->count; i++)
 		task_complete(&u->tasks[i]);
-	if (u->done == u->step->count)
+	if (u->done_count == u->step->count)
 		unit_complete(u, now, wall);
-	job_dirty(u->job);
+	job_request_store(u->job);
 }
 
 /*
@@ -252,7 +252,7 @@
 			      : now + MIN(RETRY_DELAY << MIN(*failures, 8u), RETRY_DELAY_MAX);
 	if (*failures >= u->job->attempts_max && !u->step->long_running)
 		job_finish(u->job, now, wall, WL_FAILED, "a task failed as often as it may");
-	job_dirty(u->job);
+	job_request_store(u->job);
 }
 
 /* Saves the checkpoint of a run that has ended; the members of a gang share it. */
@@ -298,10 +298,10 @@
 		}
 		if (starts->len == 0)
 			continue;
-		o.life = n->life;
+		o.life = n->instance_id;
 		o.starts = (struct wl_start *)starts->data;
 		o.starts_len = starts->len;
-		w->out.start(w->out.arg, n->name, &o);
+		w->callbacks.start(w->callbacks.arg, n->name, &o);
 		for (guint k = 0; k < starts->len; k++)
 			free(g_array_index(starts, struct wl_start, k).task);
 	}
@@ -349,7 +349,7 @@
 		task_detach(t, now);
 		save_checkpoint(t, e->checkpoint);
 		if (*t->checkpoint != '\0')
-			job_dirty(t->unit->job);
+			job_request_store(t->unit->job);
 	}
 	if (e->how == WL_END_FAILED) {
 		node_record_failure(n, now);
--- a/packages/workload/workload.h
+++ b/packages/workload/workload.h
@@ -129,8 +129,8 @@
 	int64_t revision;
 	GPtrArray *queues;
 	GPtrArray *orgs;
-	GHashTable *by_key;
-	GHashTable *by_name;
+	GHashTable *orgs_by_key;
+	GHashTable *queues_by_name;
 };
 struct wl_config *wl_config_new(void);
 void wl_config_add_queue(struct wl_config *c, struct wl_queue *q);
