--- a/packages/workload/workload.h
+++ b/packages/workload/workload.h
@@ -10,14 +10,17 @@
  * nanoseconds since the Unix epoch.
  */
 
-/* Limits on a submitted job; a job that exceeds them is rejected as invalid. */
-#define WL_ID_LEN	   16
+/* Limits on a submitted job; a job that violates them is rejected as invalid. */
+#define WL_ID_LEN	   16 /* exact length of a job id, in hexadecimal digits */
 #define WL_STEPS_MAX	   64
 #define WL_TASKS_MAX	   20000 /* tasks per occurrence */
 #define WL_REPETITIONS_MAX 100000
-#define WL_NAME_MAX	   128
-#define WL_CHECKPOINT_MAX  64
-#define WL_INDEX_GANG	   UINT32_MAX /* index of a mark that covers a whole gang */
+#define WL_NAME_MAX	   128 /* bytes of a label, data rack or image */
+
+/* Longest checkpoint in bytes; the core truncates a longer one. */
+#define WL_CHECKPOINT_MAX 64
+/* wl_mark.index of a mark for the whole unit: a gang, or any unit that is done. */
+#define WL_INDEX_GANG UINT32_MAX
 
 /* Index of a step in wl_spec.steps. */
 struct wl_step_ref {
@@ -41,12 +44,13 @@
 	bool long_running;
 	/* Runs only on cores that other tasks leave idle; no cores are reserved for it. */
 	bool filler;
-	bool copies;
+	bool copies; /* "speculative" of the submitted job; not used by the core */
 	char *label;
 	char *data_rack;
 	char *image;
 	uint32_t per_worker_max; /* 0: no limit */
-	uint32_t latency_max_ms; /* latency objective of a serving task; 0: none */
+	uint32_t latency_max_ms; /* latency objective; 0: none; not used by the core */
+	/* If not 0, runs of the step are never preempted; the number itself is not used. */
 	uint32_t unavailable_max;
 };
 
@@ -54,6 +58,7 @@
 struct wl_spec {
 	char *id;
 	char *queue;
+	/* Used if the queue has been removed, see wl_queue.service. */
 	char *service;
 	char *org;
 	char *payload;
@@ -75,7 +80,7 @@
 const char *wl_state_name(uint32_t s);
 bool wl_state_ended(uint32_t s);
 
-/* Stored state of one task, or of a whole gang. */
+/* Stored state of one task, or of a whole unit if index is WL_INDEX_GANG. */
 struct wl_mark {
 	uint32_t occurrence;
 	uint32_t step;
@@ -108,9 +113,15 @@
 	char *name;
 	char *host;
 	char *prefix;
+	/* Name that a worker offers; tasks run only on workers that report the same one. */
 	char *service;
-	uint32_t priority;
+	uint32_t priority; /* lower is scheduled first; jobs of priority 0 are urgent */
 	uint32_t attempts_max;
+	/*
+	 * Objective: a job completes within stretch times its critical path (the estimated time
+	 * of its longest chain of dependent steps) plus target_ms, counted from wl_job_add or,
+	 * if it repeats, from when a step is ready.
+	 */
 	double stretch;
 	int64_t target_ms;
 	bool open; /* accepts requests without an API key */
@@ -125,8 +136,8 @@
 };
 /* The configuration that the scheduler core uses; owned by the caller. */
 struct wl_config {
-	int64_t version;
-	int64_t revision;
+	int64_t version;  /* as written in the document */
+	int64_t revision; /* of the document in the store */
 	GPtrArray *queues;
 	GPtrArray *orgs;
 	GHashTable *orgs_by_key;
@@ -147,7 +158,9 @@
 	WL_END_DONE,
 	WL_END_FAILED,
 	WL_END_STOPPED,
+	/* The run's lease expired. */
 	WL_END_LAPSED,
+	/* Reported by the worker as "broken"; the core handles it like WL_END_OTHER. */
 	WL_END_BROKEN,
 	/* A gang member that did not find its peers within gang_wait. */
 	WL_END_ALONE,
@@ -158,10 +171,13 @@
 /* A worker's answer to a start order. */
 enum wl_answer {
 	WL_ANSWER_RUNNING,
-	/* Refused: the task does not run, now or later. */
-	WL_ANSWER_REFUSED_OLD,
-	WL_ANSWER_REFUSED_ROOM,
-	WL_ANSWER_REFUSED_TICKET,
+	/*
+	 * Refused: the worker has not started this attempt and never will; the task is placed
+	 * again with a new attempt.
+	 */
+	WL_ANSWER_REFUSED_OLD,	  /* the attempt is stale */
+	WL_ANSWER_REFUSED_ROOM,	  /* no capacity */
+	WL_ANSWER_REFUSED_TICKET, /* the approval ticket is invalid */
 	WL_ANSWER_REFUSED_OTHER,
 	/* The worker is unhealthy and did not try. */
 	WL_ANSWER_UNHEALTHY
@@ -174,7 +190,8 @@
 	uint32_t attempt;
 	char *checkpoint;
 	uint32_t percent;
-	uint32_t figure; /* serving task: latency in ms; otherwise: cores_m in use */
+	/* Measured latency in ms of a task with latency_max_ms; otherwise cores_m in use. */
+	uint32_t figure;
 };
 /* A finished run; the worker repeats it until a wl_stored message covers its number. */
 struct wl_ended {
@@ -204,10 +221,11 @@
 	uint32_t accelerators;
 	bool draining;
 	uint32_t leaves_in_ms;
+	/* The worker's last heartbeat announced that it leaves; it has no runs any more. */
 	bool left;
 	/*
-	 * Ordinal up to which the outcome of every start was known when the agent requested the
-	 * lists.
+	 * The lists below reflect every start with an ordinal up to this one. A run whose start
+	 * has a higher ordinal may be missing from them although it runs.
 	 */
 	uint64_t covers;
 	/* The agent's clock at sending; returned in wl_lead_beat.echo_ns. */
@@ -241,8 +259,8 @@
 	char *task;
 	uint32_t attempt;
 	/*
-	 * Ordinal of an unanswered start, else 0. The agent invalidates that start and then
-	 * answers it.
+	 * Ordinal of an unanswered start, else 0. The agent stops that attempt at the worker,
+	 * which refuses it from then on, and then answers the start as refused.
 	 */
 	uint64_t ordinal;
 };
@@ -267,17 +285,17 @@
 struct wl_lead_beat {
 	uint64_t term;
 	uint32_t age_ms;
-	bool stopping;
+	bool stopping; /* the coordinator's process is shutting down */
 	/* sent_ns of the report or ping being answered; 0 for none. */
 	uint64_t echo_ns;
-	/* Last start ordinal issued to any agent; later starts on this link are higher. */
+	/* Last ordinal given to a start for any agent; starts sent later have higher ones. */
 	uint64_t ordinal;
 };
 /* Agent to coordinator: first message on a link. */
 struct wl_hello {
 	char *node;
 	char *zone;
-	uint64_t term;
+	uint64_t term; /* last coordinator term that the agent has seen */
 };
 /* Coordinator to agent: finished runs of this worker instance up to number are stored. */
 struct wl_stored {
@@ -292,7 +310,10 @@
 	uint64_t sent_ns;
 };
 
-/* Entry to agent: forward a request to the store, which does not serve the entry's VM. */
+/*
+ * Entry to the coordinator's process: forward a request to the store. Used while the store
+ * fails for the entry's own VM.
+ */
 struct wl_store_call {
 	uint64_t number;
 	char *method;
@@ -340,15 +361,18 @@
 bool wl_msg_decode(struct wl_msg *m, const void *data, size_t len, GError **err);
 void wl_msg_clear(struct wl_msg *m);
 
-/* Time limits and costs of the deployment; times are in nanoseconds. */
+/*
+ * Time limits of the deployment, and the run time that a resume and work outside its rack cost;
+ * times are in nanoseconds.
+ */
 struct wl_limits {
 	int64_t stop_max;      /* a worker ends a run within this after a stop order */
 	int64_t gang_wait;     /* a gang member without its peers ends after this */
 	double remote_penalty; /* run time factor for work outside its rack */
 	int64_t restore;       /* time to resume from a checkpoint */
 	int64_t silence_max;   /* no run survives on an unreachable worker after this */
-	int64_t reclaim_max;   /* a unit within its guarantee starts within this */
-	int64_t retention;     /* how long a job is kept after it ended */
+	int64_t reclaim_max; /* a unit within its guarantee starts within this, by preemption */
+	int64_t retention;   /* how long a job is kept after it ended */
 };
 
 /* Callbacks through which the core sends orders and requests storage. */
@@ -382,17 +406,23 @@
 GPtrArray *wl_jobs_expired(struct wl *w, int64_t wall);
 void wl_job_forget(struct wl *w, const char *id);
 
-/* Workers. Registers a node that may still run tasks started by an earlier coordinator. */
+/*
+ * Nodes. A node is a VM with one worker process; struct wl_node stands for both.
+ *
+ * wl_node_await_report registers a node that may still run tasks started by an earlier
+ * coordinator.
+ */
 void wl_node_await_report(struct wl *w, int64_t now, const char *node);
 void wl_node_report(struct wl *w, int64_t now, int64_t wall, const struct wl_report *r);
 void wl_node_unreachable(struct wl *w, int64_t now, const char *node);
 void wl_node_answer(struct wl *w, int64_t now, const struct wl_answer_note *a);
 /*
- * The number up to which the finished runs of the node's current instance are stored. Returns
- * false if the worker has been told already; the caller doesn't own life.
+ * Takes the number up to which the finished runs of the node's current instance are stored, so
+ * that the caller acknowledges them to the worker. Returns true only once for each number: it
+ * counts as acknowledged from then on. The caller doesn't own life.
  */
 bool wl_node_ends_stored(struct wl *w, const char *node, const char **life, uint64_t *number);
-/* Ordinal of the last start order. */
+/* Ordinal of the last start, wl_start.ordinal. */
 uint64_t wl_last_ordinal(const struct wl *w);
 size_t wl_node_count(const struct wl *w);
 /* Names of nodes on which nothing can be running any more; the array frees its strings. */
