--- a/packages/workload/wl-private.h
+++ b/packages/workload/wl-private.h
@@ -24,7 +24,10 @@
 	uint32_t memory_mb;
 	uint32_t accelerators;
 };
-/* Unallocated resources of a worker; negative if its capacity was reduced. */
+/*
+ * Unallocated resources of a worker. Negative if the capacity was reduced below what the runs
+ * use, or if an orphan of an unknown task, assumed to fill the worker, runs beside others.
+ */
 struct wl_available {
 	int64_t cores_m;
 	int64_t memory_mb;
@@ -53,7 +56,7 @@
 	/* Number of the last attempt; 0 before the first. */
 	uint32_t attempt;
 	uint32_t failures;
-	uint32_t failed_attempt;
+	uint32_t failed_attempt; /* last attempt that was counted in failures */
 	char checkpoint[WL_CHECKPOINT_MAX + 1];
 	/*
 	 * Node of the current run, set until the run is known to have ended: while it is being
@@ -68,7 +71,7 @@
 	int64_t running_at;
 	int64_t stop_sent;
 	int64_t waiting_since;
-	uint64_t ordinal;     /* of the last start order */
+	uint64_t ordinal;     /* wl_start.ordinal of the last start */
 	uint64_t seen_serial; /* number of the last report that listed the run */
 	uint32_t percent;
 	int64_t percent_at;  /* when the worker last listed the run */
@@ -76,7 +79,9 @@
 	/* First known progress and its time; a resumed run does not start at 0 percent. */
 	uint32_t base_percent;
 	int64_t base_at;
+	/* Speed limit of the run in percent; always 100, as the core sends no pace orders. */
 	uint32_t pace_percent;
+	/* wl_run.figure of the last report; not used by the core. */
 	uint32_t measurement;
 	/* The worker that last failed or refused the task; used only if no other fits. */
 	const struct wl_node *avoid_node;
@@ -90,10 +95,11 @@
 	uint32_t occurrence;
 	uint32_t step_index;
 	struct wl_task *tasks;
-	uint32_t done_count;
-	uint32_t waiting_count;
-	/* Last attempt of any task; failures of a gang as a whole. */
+	uint32_t done_count;	/* tasks that are done */
+	uint32_t waiting_count; /* tasks that are waiting to be placed */
+	/* Highest attempt number of any of its tasks. */
 	uint32_t attempt;
+	/* Gangs only: failed attempts of the whole gang, and the last one that was counted. */
 	uint32_t failures;
 	uint32_t failed_attempt;
 	int64_t ready_at;
@@ -107,18 +113,26 @@
 	uint32_t state;
 	int64_t added_at;
 	int64_t ended_ms;
-	/* Units by occurrence, then by step; only of occurrences that are due. */
+	/*
+	 * Units by occurrence, then by step. An occurrence is opened when it is due, or earlier
+	 * if a worker or a stored mark names it.
+	 */
 	struct wl_unit **occurrences;
 	uint32_t occurrences_len;
 	uint32_t occurrences_done;
 	uint64_t version;
 	uint64_t stored; /* last version known to be stored */
-	/* Checkpoints are newer than the stored ones; when they were last written. */
+	/* Some tasks have a newer checkpoint than the store. */
 	bool checkpoints_unsaved;
+	/* When a pass last requested that new checkpoints be stored. */
 	int64_t checkpoints_at;
 	/* Settings of the queue, from the latest configuration that contains it. */
 	uint32_t priority;
 	uint32_t attempts_max;
+	/*
+	 * The job should complete within stretch times its estimated critical path, plus target
+	 * (in nanoseconds).
+	 */
 	double stretch;
 	int64_t target;
 	const char *service;
@@ -133,7 +147,7 @@
 struct wl_orphan {
 	char *task;
 	uint32_t attempt;
-	struct wl_resources need;
+	struct wl_resources need; /* the whole worker if the task is unknown */
 	int64_t stop_sent;
 };
 
@@ -144,9 +158,14 @@
 	uint64_t version;
 };
 
+/*
+ * A node (VM) and the worker process on it. There is one worker per node: the name is the
+ * node's, the rest belongs to the worker.
+ */
 struct wl_node {
 	struct wl *wl;
 	char *name;
+	/* wl_report.life; NULL if no worker is known or the last one is gone. */
 	char *instance_id;
 	char *service;
 	char *rack;
@@ -155,14 +174,21 @@
 	bool awaiting_report; /* may run tasks of an earlier coordinator; no report yet */
 	bool linked;	      /* its agent is connected */
 	bool draining;
-	bool has_left;
+	bool has_left; /* wl_report.left of the last report */
 	int64_t drain_until;
+	/*
+	 * Time of the last report, or of the loss of the connection or wl_node_await_report if
+	 * that was later.
+	 */
 	int64_t last_contact_at;
 	int64_t blocked_until;
 	double failure_score; /* failure score as of failure_score_at; decays over time */
 	int64_t failure_score_at;
 	uint64_t report_serial; /* number of reports received */
-	/* Numbers of finished runs: processed, stored, and acknowledged to the worker. */
+	/*
+	 * Highest wl_ended.number of a finished run that was processed, whose result is stored,
+	 * and that was handed out by wl_node_ends_stored to be acknowledged.
+	 */
 	uint64_t last_end_processed;
 	uint64_t last_end_stored;
 	uint64_t last_end_acked;
@@ -182,6 +208,7 @@
 	TAILQ_HEAD(, wl_task) tasks;
 };
 
+/* The scheduler core of one coordinator term: jobs, nodes, configuration and statistics. */
 struct wl {
 	uint64_t term;
 	struct wl_limits limits;
@@ -196,7 +223,7 @@
 	unsigned int recorded_runs;
 	/* Moving average of the accelerators that urgent jobs request. */
 	double mean_urgent_size;
-	/* Resources, jobs or workers were added or freed since the last pass. */
+	/* Something changed since the last pass that may allow a task to start. */
 	bool changed;
 	/* Whether the unit that is being placed may use headroom workers. */
 	bool may_use_headroom;
@@ -289,6 +316,7 @@
 /* wl-preempt.c */
 bool preempt_for_urgent_unit(
 	struct wl *w, struct wl_unit *u, int64_t now, bool within_guarantee, GArray *plan);
+/* Whether a unit is urgent and its organisation's urgent jobs need no more than guaranteed. */
 bool unit_within_guarantee(const struct wl *w, const struct wl_unit *u);
 
 #endif
