--- a/packages/workload/wl-node.c
+++ b/packages/workload/wl-node.c
@@ -5,8 +5,13 @@
 
 /* A worker's failure score halves in this time. */
 #define FAILURE_HALF_LIFE (8 * NSEC_PER_SEC)
-/* A worker that refused a start is not used for this long. */
-#define REFUSAL_BACKOFF	  (500 * NSEC_PER_MSEC)
+/*
+ * No tasks are placed on a worker for this long after it refused a start for lack of capacity
+ * or for another reason that concerns the worker. A stale attempt or an invalid ticket concerns
+ * only the task and has no backoff.
+ */
+#define REFUSAL_BACKOFF (500 * NSEC_PER_MSEC)
+/* The same after the worker answered that it is unhealthy. */
 #define UNHEALTHY_BACKOFF (1500 * NSEC_PER_MSEC)
 /* Failure score from which a worker is logged as suspect. */
 #define SUSPECT_SCORE 2.0
@@ -62,8 +67,8 @@
 }
 
 /*
- * Registers a node that an earlier coordinator may have used. Until it reports, any task may be
- * running on it.
+ * Registers a node that an earlier coordinator may have used. Until it reports, the tasks whose
+ * stored mark names it may be running on it and are unconfirmed (mark_unconfirmed).
  */
 void wl_node_await_report(struct wl *w, int64_t now, const char *name)
 {
@@ -88,7 +93,11 @@
 		job_release_unconfirmed(j, n, now);
 }
 
-/* Detaches all tasks of a node whose runs have ended with unknown outcomes. */
+/*
+ * Detaches all tasks of a node, drops its orphans and stops the other members of gangs that
+ * lose a member. The caller must know that no run is left on the node; the outcomes are
+ * unknown.
+ */
 void node_drop_runs(struct wl_node *n, int64_t now, const char *why)
 {
 	struct wl_task *t;
@@ -250,8 +259,8 @@
 }
 
 /*
- * Records a run's checkpoint. It must survive this process, but need not be stored at once: a
- * later pass requests that.
+ * Records a run's checkpoint. The checkpoint must be stored to survive this process, but not at
+ * once: a later pass requests it (store_checkpoints).
  */
 static void record_checkpoint(struct wl_task *t, const char *checkpoint)
 {
@@ -294,7 +303,7 @@
 		record_checkpoint(t, run->checkpoint);
 		if (t->phase == TASK_STOPPING ||
 			(t->phase == TASK_DONE && !t->unit->step->gang))
-			task_stop(t, now, "still listed", NULL);
+			task_stop(t, now, "the worker still reports the run", NULL);
 	}
 }
 
@@ -446,7 +455,7 @@
 		break;
 	}
 	if (t->unit->step->gang)
-		unit_stop(t->unit, now, "a gang member was refused", NULL);
+		unit_stop(t->unit, now, "a gang member did not start", NULL);
 }
 
 /* Records that a version of a job is stored, and sends the starts that waited for it. */
@@ -461,8 +470,8 @@
 }
 
 /*
- * Determines up to which number the finished runs of a node are stored. Returns true if this
- * has not been acknowledged to the worker yet.
+ * Sets number to the highest finished run of a node up to which all are stored, and records it
+ * as acknowledged. Returns false, without setting it, if it was returned before.
  */
 bool wl_node_ends_stored(struct wl *w, const char *name, const char **life, uint64_t *number)
 {
