--- a/packages/workload/wl-pass.c
+++ b/packages/workload/wl-pass.c
@@ -6,13 +6,19 @@
 #define RESERVATIONS_MAX 3
 /* A gang that has run incomplete for this long is stopped, to be restarted as a whole. */
 #define GANG_RESTART_DELAY (2 * NSEC_PER_SEC)
-/* Minimum interval between stores of a job's checkpoints; all jobs share one write. */
+/* Minimum interval between two requests to store new checkpoints of the same job. */
 #define CHECKPOINT_STORE_INTERVAL (2 * NSEC_PER_SEC)
 /* Units with more slack than this share of their objective don't use the headroom. */
 #define DEFER_SLACK_SHARE 0.25
-/* Longest wait caused by the headroom: a long queue needs every worker. */
+/*
+ * A unit that has been ready for this long may use the headroom, so that the headroom does not
+ * delay it further.
+ */
 #define HEADROOM_WAIT_MAX (3 * NSEC_PER_SEC)
-/* A job that exceeds its objective by this factor is no longer of use to its caller. */
+/*
+ * A unit is expired, of no more use to its caller, if its job will take longer than this many
+ * times the objective.
+ */
 #define EXPIRED_FACTOR 3
 /* Other runs are preempted for an urgent unit this long before it would become late. */
 #define PREEMPTION_MARGIN (500 * NSEC_PER_MSEC)
@@ -56,6 +62,7 @@
 /* A unit that can be placed now, with its sort keys. */
 struct candidate {
 	struct wl_unit *unit;
+	/* Unit of a job's first step that is within its organisation's guarantee. */
 	bool within_guarantee;
 	/* Time until it must start to meet its objective; if late, until it expires. */
 	int64_t slack;
@@ -89,8 +96,9 @@
 }
 
 /*
- * Expired units come last. The others are ordered by priority, then units within their
- * guarantee first, then those that can meet their objective, then by slack.
+ * Expired units come last. The others are ordered by priority, then first steps within the
+ * guarantee of their organisation first, then units that can meet their objective, then by
+ * slack.
  */
 static gint compare_candidates(gconstpointer pa, gconstpointer pb)
 {
@@ -127,7 +135,10 @@
 	unit_stop(u, now, "the gang is incomplete", NULL);
 }
 
-/* Whether a unit has waiting tasks that can be placed now; stops incomplete gangs. */
+/*
+ * Returns whether a unit has waiting tasks that can be placed now. If not because it is a gang
+ * that is only partly waiting, stops its other members after GANG_RESTART_DELAY.
+ */
 static bool prepare_placement(struct wl_unit *u, int64_t now)
 {
 	if (u->is_done || u->waiting_count == 0 || u->retry_at > now ||
@@ -227,8 +238,9 @@
 }
 
 /*
- * Whether runs that end by themselves free enough resources before an urgent unit becomes late.
- * If so, reserves these resources, and nothing needs to be preempted.
+ * Reserves resources for an urgent unit instead of preempting, if runs that end by themselves
+ * free enough of them before the unit becomes late or would miss its guaranteed start. Returns
+ * false, with nothing reserved, otherwise.
  */
 static bool reserve_before_deadline(struct wl *w, const struct candidate *c, int64_t now)
 {
