--- a/packages/workload/wl-place.c
+++ b/packages/workload/wl-place.c
@@ -160,7 +160,11 @@
 		if (p.node == NULL) {
 			if (u->step->gang)
 				break;
-			/* All tasks request the same: the next one would not fit either. */
+			/*
+			 * All tasks request the same, so the next one would not fit either.
+			 * With an avoid_node it is tried all the same, although that only
+			 * raises the cost of a worker and excludes none.
+			 */
 			if (t->avoid_node == NULL)
 				break;
 			continue;
@@ -211,7 +215,10 @@
 	return NULL;
 }
 
-/* Accelerators, then cores, that remain free on the workers of a plan. */
+/*
+ * Weighted sum of what remains free on the workers of a plan: 1000 per accelerator and 1 per
+ * core. A worker counts once for each of its tasks in the plan.
+ */
 static int64_t free_capacity_score(const GArray *plan, guint from, enum placement_view view)
 {
 	int64_t sum = 0;
@@ -244,6 +251,7 @@
 			continue;
 		placed = place_tasks(w, u, now, view, rack, out);
 		cost = free_capacity_score(out, from, view);
+		/* Without effect: place_unit calls this only for steps without a data rack. */
 		if (u->step->data_rack != NULL && strcmp(u->step->data_rack, rack) != 0)
 			cost += INT32_MAX;
 		placements_undo(out, from, view);
@@ -283,7 +291,11 @@
 	       (u->step->label == NULL || has_label(n, u->step->label));
 }
 
-/* Whether a rack could hold the unit if it were empty and its workers reachable. */
+/*
+ * Whether some rack, only the data's rack if there is one, could hold the unit if it were empty
+ * and its workers reachable: all tasks of a gang or a rack-local step, else at least one task.
+ * Also true if that is not known, while a node has not reported.
+ */
 bool preferred_rack_possible(const struct wl *w, const struct wl_unit *u)
 {
 	g_autoptr(GPtrArray) racks = list_racks(w);
@@ -327,7 +339,7 @@
 }
 
 /*
- * Whether a unit may be placed outside its preferred rack: if no rack can hold it, if it has
+ * Whether a unit may be placed outside its preferred rack: if none can hold it, if it has
  * waited for SPREAD_WAIT_SHARE of the time that it would lose elsewhere, or if waiting any
  * longer would miss the start time of its guarantee.
  */
