--- a/packages/workload/wl-preempt.c
+++ b/packages/workload/wl-preempt.c
@@ -4,7 +4,10 @@
 
 /* Weight of an accelerator in cores when lost work is compared. */
 #define ACCELERATOR_CORES 8
-/* Core-seconds that a worker's failure score of 1 counts as: a few seconds of a worker. */
+/*
+ * Core-seconds added to the lost work of a choice of victims for each point of the worker's
+ * failure score; about the work of a whole worker in a few seconds.
+ */
 #define FAILURE_COST 100.0
 
 /*
@@ -68,6 +71,7 @@
 	/* Stopping saves a checkpoint: only the time to restore it is lost. */
 	if (s->checkpoints)
 		ran = MIN(ran, w->limits.restore);
+	/* A long-running task loses one second of work, however long it ran. */
 	if (s->long_running)
 		ran = NSEC_PER_SEC;
 	return cores * (double)MAX(ran, 0) / (double)NSEC_PER_SEC;
@@ -282,9 +286,10 @@
 }
 
 /*
- * Stops other runs to free resources for an urgent unit, losing as little work as possible. For
- * a unit that is not within its guarantee, the lost work never exceeds its own. Appends its
- * placements to the plan, on VIEW_AFTER_STOPS.
+ * Preempts other runs, that is, stops them to free resources for an urgent unit, losing as
+ * little work as possible. If the unit is not within its organisation's guarantee, the lost
+ * work never exceeds the estimated work of its waiting tasks. Appends the unit's placements to
+ * the plan, on VIEW_AFTER_STOPS.
  */
 bool preempt_for_urgent_unit(
 	struct wl *w, struct wl_unit *u, int64_t now, bool within_guarantee, GArray *plan)
