--- a/packages/workload/wl-reserve.c
+++ b/packages/workload/wl-reserve.c
@@ -2,15 +2,15 @@
 
 /*
  * Reservations for units that cannot be placed yet, on the workers that will be able to hold
- * them first. Units later in the order may use such a worker only if they end before the
- * reservation begins or fit beside it (backfilling). Without reservations, small tasks would
- * keep workers from ever becoming free enough for large ones, which would starve.
+ * them at the earliest time. Units later in the order may use such a worker only if they end
+ * before the reservation begins or fit beside it (backfilling). Without reservations, small
+ * tasks would keep workers from ever becoming free enough for large ones, which would starve.
  */
 
 /* Expected end of a run and the resources that it frees. */
 struct pending_release {
 	int64_t at;
-	struct wl_resources need;
+	struct wl_resources freed;
 };
 
 /* Compares by time, the first member of both structs that are sorted here. */
@@ -34,7 +34,7 @@
 
 	*available = n->free;
 	TAILQ_FOREACH(t, &n->tasks, on_node) {
-		struct pending_release release = {.at = now, .need = task_need(t->unit->step)};
+		struct pending_release release = {.at = now, .freed = task_need(t->unit->step)};
 
 		if (t->unit->step->long_running && t->phase == TASK_RUNNING)
 			continue;
@@ -54,7 +54,7 @@
 		const struct pending_release *release =
 			&g_array_index(ends, struct pending_release, i);
 
-		resources_add(available, &release->need);
+		resources_add(available, &release->freed);
 		if (resources_fit(available, need))
 			return release->at;
 	}
@@ -129,7 +129,10 @@
 	return remaining > 0 ? INT64_MAX : last;
 }
 
-/* Plans the reservations that let all waiting tasks start first; returns as above. */
+/*
+ * Plans the reservations with which the last of the waiting tasks starts as early as possible.
+ * Returns when that is, INT64_MAX for never.
+ */
 static int64_t plan_earliest(struct wl *w, const struct wl_unit *u, int64_t now, bool anywhere,
 	enum reservation_basis basis, GArray *best)
 {
@@ -155,8 +158,8 @@
 }
 
 /*
- * Reserves resources for the waiting tasks of a unit where they can start first. Reserves
- * nothing and returns false if that is after until.
+ * Reserves resources for the waiting tasks of a unit where the last of them can start earliest.
+ * Reserves nothing and returns false if that is after until.
  */
 bool reserve_resources(struct wl *w, struct wl_unit *u, int64_t now, bool anywhere,
 	enum reservation_basis basis, int64_t until)
