--- a/packages/workload/wl-run.c
+++ b/packages/workload/wl-run.c
@@ -3,9 +3,10 @@
 #include <inttypes.h>
 
 /*
- * Attempt numbers reserved for each coordinator term. Attempts of a term start above
+ * Attempt numbers meant for each coordinator term. Attempts of a term start above
  * (term - 1) * ATTEMPTS_PER_TERM, so that two coordinators don't give the same number to
- * different runs of a task.
+ * different runs of a task. Only this lower bound is enforced: after ATTEMPTS_PER_TERM attempts
+ * of a task in one term, the numbers continue into the range of the next term.
  */
 #define ATTEMPTS_PER_TERM 256
 
@@ -149,7 +150,7 @@
 	t->unit->job->wl->callbacks.stop(t->unit->job->wl->callbacks.arg, t->node->name, &o);
 }
 
-/* Stops all runs of a unit. */
+/* Stops the runs of a unit that are placed, starting or running. */
 void unit_stop(struct wl_unit *u, int64_t now, const char *why, const char *beneficiary)
 {
 	for (uint32_t i = 0; i < u->step->count; i++) {
@@ -159,7 +160,7 @@
 	}
 }
 
-/* Stops all runs of a job. */
+/* Stops the runs of a job that are placed, starting or running. */
 void job_stop_runs(struct wl_job *j, int64_t now, const char *why)
 {
 	for (uint32_t k = 0; k < j->occurrences_len; k++) {
@@ -251,7 +252,8 @@
 			      ? now
 			      : now + MIN(RETRY_DELAY << MIN(*failures, 8u), RETRY_DELAY_MAX);
 	if (*failures >= u->job->attempts_max && !u->step->long_running)
-		job_finish(u->job, now, wall, WL_FAILED, "a task failed as often as it may");
+		job_finish(u->job, now, wall, WL_FAILED,
+			"the failures of a task or gang reached attempts_max");
 	job_request_store(u->job);
 }
 
