--- a/packages/workload/wl-job.c
+++ b/packages/workload/wl-job.c
@@ -136,7 +136,7 @@
 	j->approval = q->approval;
 }
 
-/* Starts a new version of a job's progress and requests that it be stored. */
+/* Increments the version of a job's progress and requests that it be stored. */
 void job_request_store(struct wl_job *j)
 {
 	j->version++;
@@ -226,7 +226,10 @@
 	j->state = p != NULL ? p->state : WL_QUEUED;
 	job_open_due_occurrences(j, now, wall);
 	for (uint32_t i = 0; p != NULL && i < p->marks_len; i++) {
-		/* With stored progress it was due, even if the clock is earlier now. */
+		/*
+		 * An occurrence with a stored mark was due when the mark was stored, even if
+		 * this coordinator's clock is behind and says that it is not due yet.
+		 */
 		while (p->marks[i].occurrence >= j->occurrences_len &&
 			p->marks[i].occurrence < occurrence_count(j))
 			open_next_occurrence(j, now);
@@ -373,7 +376,10 @@
 	return out;
 }
 
-/* Removes an ended job; does nothing while it has runs. */
+/*
+ * Removes a job; does nothing while it has runs. The caller must know that the job has ended,
+ * as this is not checked.
+ */
 void wl_job_forget(struct wl *w, const char *id)
 {
 	struct wl_job *j = wl_find_job(w, id);
