--- a/packages/workload/wl-health.c
+++ b/packages/workload/wl-health.c
@@ -4,9 +4,12 @@
 
 /* A run without progress for this long is stalled. */
 #define STALL_TIMEOUT (3 * NSEC_PER_SEC)
-/* Failed runs that a stalled run counts as for its worker. */
+/* A stalled run raises its worker's failure score as much as this many failed runs. */
 #define STALL_FAILURES 3
-/* Runs must be expected to end this long before their worker leaves, or are moved. */
+/*
+ * A run on a leaving worker is stopped, to be placed again elsewhere, unless it is expected to
+ * end this long before the worker leaves.
+ */
 #define DRAIN_MARGIN (200 * NSEC_PER_MSEC)
 /* Shortest observation from which a progress rate is computed. */
 #define PROGRESS_WINDOW_MIN (300 * NSEC_PER_MSEC)
@@ -25,12 +28,12 @@
 	int64_t ran = t->running_at > 0 ? now - t->running_at : 0;
 	int64_t observed = t->percent_at - t->base_at;
 	uint32_t gained = t->percent - MIN(t->base_percent, t->percent);
-	uint32_t left = 100 - MIN(t->percent, 100u);
+	uint32_t remaining_percent = 100 - MIN(t->percent, 100u);
 
 	if (!task_has_progress_rate(t))
 		return MAX(estimate * (100 - MIN(t->base_percent, 100u)) / 100 - ran, 0);
 	/* percent is as of percent_at, up to one report interval ago. */
-	return MAX(observed * left / gained - (now - t->percent_at), 0);
+	return MAX(observed * remaining_percent / gained - (now - t->percent_at), 0);
 }
 
 /* Records a run's reported progress. */
@@ -70,8 +73,8 @@
 }
 
 /*
- * Whether a run has made no progress for STALL_TIMEOUT. The members of a gang begin to progress
- * only when all of them run.
+ * Whether a run has made no progress for STALL_TIMEOUT. The time counts from when this run was
+ * confirmed, also for a gang member that still waits for the other members.
  */
 static bool is_stalled(const struct wl_task *t, int64_t now)
 {
