--- a/packages/workload/wl-headroom.c
+++ b/packages/workload/wl-headroom.c
@@ -1,9 +1,10 @@
 #include "wl-private.h"
 
 /*
- * Headroom: workers that are kept free while other work can wait. Urgent jobs arrive without
- * notice, and preempting other runs for them takes longer than they can wait. Work that is
- * close to its own objective may use the headroom.
+ * Headroom: workers that are kept free for urgent jobs. These arrive without notice, and
+ * preempting other runs for them takes longer than they can wait. Units that are not urgent may
+ * use the headroom too if they are late or close to missing their objective, or if they have
+ * waited for HEADROOM_WAIT_MAX (wl-pass.c).
  */
 
 /* Weight of the newest job in the moving average of job sizes. */
