--- a/packages/workload/wl-estimate.c
+++ b/packages/workload/wl-estimate.c
@@ -10,12 +10,16 @@
 
 /* Used if there is neither an estimate nor a measured run. */
 #define ESTIMATE_DEFAULT_MS 5000
-/* Weight of the newest run in the moving averages. */
+/* Weight of the newest run in the variances; its least weight in the mean. */
 #define RUN_TIME_WEIGHT 0.08
-/* Before any run: estimates are within about a third, run times within a factor of three. */
+/*
+ * Variances of natural logarithms, before any run: estimates are off by about a third
+ * (sqrt(0.1) = ln 1.4), run times differ by a factor of three (sqrt(1.2) = ln 3).
+ */
 #define ESTIMATE_VARIANCE_PRIOR 0.1
 #define RUN_TIME_VARIANCE_PRIOR 1.2
-#define VARIANCE_MIN		0.02
+/* Replaces smaller variances, which are also of natural logarithms. */
+#define VARIANCE_MIN 0.02
 /* Shorter run times are dominated by message latency. */
 #define RUN_TIME_MIN (20 * NSEC_PER_MSEC)
 
