--- a/packages/workload/wl-message.c
+++ b/packages/workload/wl-message.c
@@ -216,7 +216,11 @@
 	[WL_MSG_STORE_REPLY] = &wl_store_reply_fields,
 };
 
-/* Encodes a message: its kind as one byte, then its fields. The caller frees the result. */
+/*
+ * Encodes a message: its kind as one byte, then its fields. The caller frees the result.
+ *
+ * Here and below, &m->hello is the address of the union and so of the member for m->kind.
+ */
 struct bytes wl_msg_encode(const struct wl_msg *m)
 {
 	struct bytes body = fields_encode(msg_tables[m->kind], &m->hello);
