--- a/packages/workload/workload.h
+++ b/packages/workload/workload.h
@@ -172,7 +172,7 @@
 enum wl_answer {
 	WL_ANSWER_RUNNING,
 	/*
-	 * Refused: the worker has not started this attempt and never will; the task is placed
+	 * REFUSED_*: the worker has not started this attempt and never will; the task is placed
 	 * again with a new attempt.
 	 */
 	WL_ANSWER_REFUSED_OLD,	  /* the attempt is stale */
@@ -260,7 +260,8 @@
 	uint32_t attempt;
 	/*
 	 * Ordinal of an unanswered start, else 0. The agent stops that attempt at the worker,
-	 * which refuses it from then on, and then answers the start as refused.
+	 * which refuses it from then on. If lists requested after that don't show the run, the
+	 * agent answers the start with WL_ANSWER_REFUSED_OTHER.
 	 */
 	uint64_t ordinal;
 };
