--- a/packages/workload/wl-job.c
+++ b/packages/workload/wl-job.c
@@ -78,13 +78,13 @@
 		u->step = &j->spec.steps[s];
 		u->occurrence = k;
 		u->step_index = s;
-		u->waiting = u->step->count;
+		u->waiting_count = u->step->count;
 		u->ready_at = u->step->after_len == 0 ? now : 0;
 		u->tasks = xcalloc(u->step->count, sizeof(*u->tasks));
 		for (uint32_t i = 0; i < u->step->count; i++) {
 			u->tasks[i].unit = u;
 			u->tasks[i].index = i;
-			u->tasks[i].pace = 100;
+			u->tasks[i].pace_percent = 100;
 			u->tasks[i].waiting_since = now;
 		}
 	}
@@ -136,11 +136,11 @@
 	j->approval = q->approval;
 }
 
-/* Starts a new version of a job's progress and requests that it be stored. */
-void job_dirty(struct wl_job *j)
+/* Increments the version of a job's progress and requests that it be stored. */
+void job_request_store(struct wl_job *j)
 {
 	j->version++;
-	j->wl->out.dirty(j->wl->out.arg, j->spec.id);
+	j->wl->callbacks.dirty(j->wl->callbacks.arg, j->spec.id);
 }
 
 /*
@@ -156,7 +156,7 @@
 		return;
 	t->phase = TASK_UNCONFIRMED;
 	t->unconfirmed_node = n;
-	t->unit->waiting--;
+	t->unit->waiting_count--;
 }
 
 /* Applies a stored mark to its unit or task; the occurrence must have been opened. */
@@ -179,8 +179,8 @@
 		}
 		if (m->done) {
 			u->is_done = true;
-			u->done = u->step->count;
-			u->waiting = 0;
+			u->done_count = u->step->count;
+			u->waiting_count = 0;
 		}
 		return;
 	}
@@ -195,9 +195,9 @@
 		mark_unconfirmed(&u->tasks[m->index], m);
 	if (m->done && u->tasks[m->index].phase != TASK_DONE) {
 		u->tasks[m->index].phase = TASK_DONE;
-		u->done++;
-		u->waiting--;
-		u->is_done = u->done == u->step->count;
+		u->done_count++;
+		u->waiting_count--;
+		u->is_done = u->done_count == u->step->count;
 	}
 }
 
@@ -226,7 +226,10 @@
 	j->state = p != NULL ? p->state : WL_QUEUED;
 	job_open_due_occurrences(j, now, wall);
 	for (uint32_t i = 0; p != NULL && i < p->marks_len; i++) {
-		/* With stored progress it was due, even if the clock is earlier now. */
+		/*
+		 * An occurrence with a stored mark was due when the mark was stored, even if
+		 * this coordinator's clock is behind and says that it is not due yet.
+		 */
 		while (p->marks[i].occurrence >= j->occurrences_len &&
 			p->marks[i].occurrence < occurrence_count(j))
 			open_next_occurrence(j, now);
@@ -246,7 +249,7 @@
 	event_log(EV_JOB_END, "job=%s state=%s why=\"%s\" after_ms=%" PRId64, j->spec.id,
 		wl_state_name(state), why, (now - j->added_at) / NSEC_PER_MSEC);
 	job_stop_runs(j, now, why);
-	job_dirty(j);
+	job_request_store(j);
 }
 
 /* Cancels a job unless it has ended. */
@@ -373,7 +376,10 @@
 	return out;
 }
 
-/* Removes an ended job; does nothing while it has runs. */
+/*
+ * Removes a job; does nothing while it has runs. The caller must know that the job has ended,
+ * as this is not checked.
+ */
 void wl_job_forget(struct wl *w, const char *id)
 {
 	struct wl_job *j = wl_find_job(w, id);
@@ -428,7 +434,7 @@
 
 	w->term = term;
 	w->limits = *limits;
-	w->out = *out;
+	w->callbacks = *out;
 	w->jobs = g_hash_table_new(g_str_hash, g_str_equal);
 	w->nodes = g_ptr_array_new();
 	TAILQ_INIT(&w->list);
@@ -446,7 +452,7 @@
 		struct wl_node *n = w->nodes->pdata[i];
 
 		free(n->name);
-		free(n->life);
+		free(n->instance_id);
 		free(n->service);
 		free(n->rack);
 		g_ptr_array_unref(n->labels);
--- a/packages/workload/wl-private.h
+++ b/packages/workload/wl-private.h
@@ -6,11 +6,17 @@
 #include <stdlib.h>
 #include <string.h>
 
+/*
+ * Priority of urgent jobs: a job is urgent if its queue has this priority. Only urgent jobs can
+ * preempt other runs and count towards the guarantee of their organisation.
+ */
+#define URGENT_PRIORITY 0
+
 /*
  * Time that a guaranteed start takes in addition to stopping other runs: two messages, one
  * store write and one retry of a message whose answer was lost.
  */
-#define RECLAIM_MARGIN (900 * NSEC_PER_MSEC)
+#define GUARANTEED_START_MARGIN (900 * NSEC_PER_MSEC)
 
 /* Resources that a task requires or that a worker has. */
 struct wl_resources {
@@ -18,7 +24,10 @@
 	uint32_t memory_mb;
 	uint32_t accelerators;
 };
-/* Unallocated resources of a worker; negative if its capacity was reduced. */
+/*
+ * Unallocated resources of a worker. Negative if the capacity was reduced below what the runs
+ * use, or if an orphan of an unknown task, assumed to fill the worker, runs beside others.
+ */
 struct wl_available {
 	int64_t cores_m;
 	int64_t memory_mb;
@@ -47,7 +56,7 @@
 	/* Number of the last attempt; 0 before the first. */
 	uint32_t attempt;
 	uint32_t failures;
-	uint32_t failed_attempt;
+	uint32_t failed_attempt; /* last attempt that was counted in failures */
 	char checkpoint[WL_CHECKPOINT_MAX + 1];
 	/*
 	 * Node of the current run, set until the run is known to have ended: while it is being
@@ -62,7 +71,7 @@
 	int64_t running_at;
 	int64_t stop_sent;
 	int64_t waiting_since;
-	uint64_t ordinal;     /* of the last start order */
+	uint64_t ordinal;     /* wl_start.ordinal of the last start */
 	uint64_t seen_serial; /* number of the last report that listed the run */
 	uint32_t percent;
 	int64_t percent_at;  /* when the worker last listed the run */
@@ -70,8 +79,10 @@
 	/* First known progress and its time; a resumed run does not start at 0 percent. */
 	uint32_t base_percent;
 	int64_t base_at;
-	uint32_t pace;
-	uint32_t figure;
+	/* Speed limit of the run in percent; always 100, as the core sends no pace orders. */
+	uint32_t pace_percent;
+	/* wl_run.figure of the last report; not used by the core. */
+	uint32_t measurement;
 	/* The worker that last failed or refused the task; used only if no other fits. */
 	const struct wl_node *avoid_node;
 	TAILQ_ENTRY(wl_task) on_node;
@@ -84,10 +95,11 @@
 	uint32_t occurrence;
 	uint32_t step_index;
 	struct wl_task *tasks;
-	uint32_t done;
-	uint32_t waiting;
-	/* Last attempt of any task; failures of a gang as a whole. */
+	uint32_t done_count;	/* tasks that are done */
+	uint32_t waiting_count; /* tasks that are waiting to be placed */
+	/* Highest attempt number of any of its tasks. */
 	uint32_t attempt;
+	/* Gangs only: failed attempts of the whole gang, and the last one that was counted. */
 	uint32_t failures;
 	uint32_t failed_attempt;
 	int64_t ready_at;
@@ -101,18 +113,26 @@
 	uint32_t state;
 	int64_t added_at;
 	int64_t ended_ms;
-	/* Units by occurrence, then by step; only of occurrences that are due. */
+	/*
+	 * Units by occurrence, then by step. An occurrence is opened when it is due, or earlier
+	 * if a worker or a stored mark names it.
+	 */
 	struct wl_unit **occurrences;
 	uint32_t occurrences_len;
 	uint32_t occurrences_done;
 	uint64_t version;
 	uint64_t stored; /* last version known to be stored */
-	/* Checkpoints are newer than the stored ones; when they were last written. */
+	/* Some tasks have a newer checkpoint than the store. */
 	bool checkpoints_unsaved;
+	/* When a pass last requested that new checkpoints be stored. */
 	int64_t checkpoints_at;
 	/* Settings of the queue, from the latest configuration that contains it. */
 	uint32_t priority;
 	uint32_t attempts_max;
+	/*
+	 * The job should complete within stretch times its estimated critical path, plus target
+	 * (in nanoseconds).
+	 */
 	double stretch;
 	int64_t target;
 	const char *service;
@@ -127,7 +147,7 @@
 struct wl_orphan {
 	char *task;
 	uint32_t attempt;
-	struct wl_resources need;
+	struct wl_resources need; /* the whole worker if the task is unknown */
 	int64_t stop_sent;
 };
 
@@ -138,10 +158,15 @@
 	uint64_t version;
 };
 
+/*
+ * A node (VM) and the worker process on it. There is one worker per node: the name is the
+ * node's, the rest belongs to the worker.
+ */
 struct wl_node {
 	struct wl *wl;
 	char *name;
-	char *life;
+	/* wl_report.life; NULL if no worker is known or the last one is gone. */
+	char *instance_id;
 	char *service;
 	char *rack;
 	GPtrArray *labels;
@@ -149,17 +174,24 @@
 	bool awaiting_report; /* may run tasks of an earlier coordinator; no report yet */
 	bool linked;	      /* its agent is connected */
 	bool draining;
-	bool left;
+	bool has_left; /* wl_report.left of the last report */
 	int64_t drain_until;
-	int64_t silent_at;
+	/*
+	 * Time of the last report, or of the loss of the connection or wl_node_await_report if
+	 * that was later.
+	 */
+	int64_t last_contact_at;
 	int64_t blocked_until;
 	double failure_score; /* failure score as of failure_score_at; decays over time */
 	int64_t failure_score_at;
 	uint64_t report_serial; /* number of reports received */
-	/* Numbers of finished runs: processed, stored, and acknowledged to the worker. */
-	uint64_t ends_seen;
-	uint64_t ends_stored;
-	uint64_t ends_acked;
+	/*
+	 * Highest wl_ended.number of a finished run that was processed, whose result is stored,
+	 * and that was handed out by wl_node_ends_stored to be acknowledged.
+	 */
+	uint64_t last_end_processed;
+	uint64_t last_end_stored;
+	uint64_t last_end_acked;
 	GArray *pending_ends;
 	GPtrArray *orphans;
 	struct wl_available free;	      /* unallocated; recomputed by each pass */
@@ -176,10 +208,11 @@
 	TAILQ_HEAD(, wl_task) tasks;
 };
 
+/* The scheduler core of one coordinator term: jobs, nodes, configuration and statistics. */
 struct wl {
 	uint64_t term;
 	struct wl_limits limits;
-	struct wl_callbacks out;
+	struct wl_callbacks callbacks;
 	const struct wl_config *config;
 	GHashTable *jobs;
 	TAILQ_HEAD(, wl_job) list;
@@ -190,7 +223,7 @@
 	unsigned int recorded_runs;
 	/* Moving average of the accelerators that urgent jobs request. */
 	double mean_urgent_size;
-	/* Resources, jobs or workers were added or freed since the last pass. */
+	/* Something changed since the last pass that may allow a task to start. */
 	bool changed;
 	/* Whether the unit that is being placed may use headroom workers. */
 	bool may_use_headroom;
@@ -203,7 +236,7 @@
 struct wl_resources task_need(const struct wl_step *s);
 void job_update_settings(struct wl_job *j);
 void job_open_due_occurrences(struct wl_job *j, int64_t now, int64_t wall);
-void job_dirty(struct wl_job *j);
+void job_request_store(struct wl_job *j);
 void job_finish(
 	struct wl_job *j, int64_t now, int64_t wall, enum wl_state state, const char *why);
 int64_t job_next_due(const struct wl_job *j);
@@ -226,7 +259,7 @@
 
 /* wl-node.c */
 struct wl_node *node_find(const struct wl *w, const char *name);
-void node_lose_tasks(struct wl_node *n, int64_t now, const char *why);
+void node_drop_runs(struct wl_node *n, int64_t now, const char *why);
 bool node_usable(const struct wl_node *n, int64_t now);
 double node_failure_score(const struct wl_node *n, int64_t now);
 void node_record_failure(struct wl_node *n, int64_t now);
@@ -252,7 +285,7 @@
 bool below_worker_limit(const struct wl_unit *u, const struct wl_node *n, const GArray *plan);
 void placements_undo(GArray *plan, guint from, enum placement_view view);
 GPtrArray *list_racks(const struct wl *w);
-bool rack_feasible(const struct wl *w, const struct wl_unit *u);
+bool preferred_rack_possible(const struct wl *w, const struct wl_unit *u);
 bool unit_prefers_rack(const struct wl_unit *u);
 bool unit_may_spread(const struct wl *w, const struct wl_unit *u, int64_t now);
 
@@ -280,9 +313,10 @@
 void task_record_progress(struct wl_task *t, int64_t now, uint32_t percent);
 void health_check(struct wl *w, int64_t now);
 
-/* wl-reclaim.c */
-bool reclaim_for_unit(
-	struct wl *w, struct wl_unit *u, int64_t now, bool entitled, GArray *plan);
-bool unit_entitled(const struct wl *w, const struct wl_unit *u);
+/* wl-preempt.c */
+bool preempt_for_urgent_unit(
+	struct wl *w, struct wl_unit *u, int64_t now, bool within_guarantee, GArray *plan);
+/* Whether a unit is urgent and its organisation's urgent jobs need no more than guaranteed. */
+bool unit_within_guarantee(const struct wl *w, const struct wl_unit *u);
 
 #endif
