--- a/packages/coordination/coord-agent.c
+++ b/packages/coordination/coord-agent.c
@@ -64,11 +64,11 @@
 /* Handle the death, restart or replacement of an agent: what it may have started is lost. */
 static void handle_agent_death(struct coord *c, int64_t now, struct coord_agent *a)
 {
-	coord_record_dead_agent(c, now, a);
+	coord_add_dead_agent(c, now, a);
 	if (a->has_worker)
 		sched_worker_down(c->sched, now, a->worker);
 	settle_drop_inventory(c, a);
-	run_close_members(c, now, a, false);
+	run_end_missing_members(c, now, a, false);
 }
 
 /* Send the welcome message, which an agent answers with its report and inventory. */
@@ -94,7 +94,7 @@
 		return;
 	a = g_hash_table_lookup(c->agents, h->name);
 	if (a == NULL) {
-		coord_record_restarted_agent(c, now, h->name, h->incarnation);
+		coord_check_agent_restart(c, now, h->name, h->incarnation);
 		a = xcalloc(1, sizeof(*a));
 		a->name = xstrdup(h->name);
 		g_hash_table_insert(c->agents, a->name, a);
@@ -111,7 +111,7 @@
 	a->addr = xstrdup(h->addr);
 	a->dead = false;
 	a->inventory = false;
-	a->reported = false;
+	a->report_accepted = false;
 	a->last_seen = now;
 	send_welcome(c, a);
 }
@@ -151,7 +151,7 @@
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
 		struct coord_agent *o = value;
 
-		if (o != a && !o->dead && o->reported &&
+		if (o != a && !o->dead && o->report_accepted &&
 			g_strcmp0(o->report.worker, a->report.worker) == 0)
 			return o;
 	}
@@ -171,14 +171,14 @@
 		return;
 	fields_clear(report_fields(), &a->report);
 	fields_copy(report_fields(), &a->report, &m->report);
-	a->reported = true;
+	a->report_accepted = true;
 	a->serving = m->report.serving && !m->report.draining;
 	other = find_other_agent(c, a);
 	if (other != NULL && other->peer != PEER_NONE) {
 		log_warning("coord",
 			"Agents %s and %s both report worker %s; the second is ignored.",
 			other->name, a->name, a->report.worker);
-		a->reported = false;
+		a->report_accepted = false;
 		return;
 	}
 	if (other != NULL) {
@@ -202,10 +202,10 @@
 	if (inv->term != c->term)
 		return;
 	a->inventory = true;
-	if (a->reported)
+	if (a->report_accepted)
 		register_worker(c, now, a);
 	settle_handle_inventory(c, a, inv);
-	run_close_members(c, now, a, true);
+	run_end_missing_members(c, now, a, true);
 	settle_advance(c, now);
 }
 
--- a/packages/coordination/coord-job.c
+++ b/packages/coordination/coord-job.c
@@ -63,9 +63,9 @@
 	j->in_sched = true;
 	j->ref = sched_submit(c->sched, now, &j->spec, j);
 	s = sched_job(c->sched, j->ref);
-	if (j->record_attempt == 0)
+	if (j->last_attempt == 0)
 		return;
-	s->attempt = MAX(j->record_attempt, coord_attempt_floor(c));
+	s->attempt = MAX(j->last_attempt, coord_attempt_floor(c));
 	s->ran = j->spec.idempotent;
 }
 
@@ -124,7 +124,7 @@
 }
 
 /* Handle the submission of a job that is already known. */
-static void resubmit_known_job(
+static void answer_repeated_submission(
 	struct coord *c, peer_id peer, struct coord_job *j, const struct msg_submit *m)
 {
 	counter_add(&jobs_repeated, 1);
@@ -193,7 +193,7 @@
 	if (m->spec.id == NULL || m->spec.org == NULL)
 		return;
 	if (j != NULL) {
-		resubmit_known_job(c, peer, j, m);
+		answer_repeated_submission(c, peer, j, m);
 		return;
 	}
 	if (c->handing_over && !m->resubmitted) {
@@ -209,7 +209,7 @@
 	counter_add(&jobs_submitted, 1);
 	j = job_add(c, now, &m->spec);
 	if (m->resubmitted)
-		j->record_attempt = coord_attempt_floor(c);
+		j->last_attempt = coord_attempt_floor(c);
 	if (m->wait)
 		add_waiter(j, peer);
 	if (m->resubmitted && !m->spec.idempotent && m->last_term < c->term &&
@@ -357,7 +357,7 @@
 			continue;
 		fields_copy(&job_spec_fields, &w.record.spec, &j->spec);
 		fields_copy(&job_result_fields, &w.record.result, &j->result);
-		w.record.attempt = j->record_attempt;
+		w.record.attempt = j->last_attempt;
 		w.record.placed = xstrdup(j->placed);
 		w.record.ended_wall_ms = j->ended_wall / NSEC_PER_MSEC;
 		g_array_append_val(writes, w);
--- a/packages/coordination/coord-private.h
+++ b/packages/coordination/coord-private.h
@@ -34,7 +34,7 @@
 	peer_id peer;
 	uint32_t worker; /* handle in the scheduler, valid if has_worker */
 	bool has_worker;
-	bool reported;
+	bool report_accepted;
 	bool inventory; /* has sent its inventory on this connection */
 	bool serving;
 	bool dead;
@@ -79,7 +79,7 @@
 	int64_t ended_at;
 	int64_t ended_wall;
 	int64_t submitted_at;
-	uint32_t record_attempt;
+	uint32_t last_attempt;
 	char *placed;  /* agents of the attempt: "NAME/INCARNATION,..." */
 	bool dirty;    /* the stored record is out of date */
 	bool in_batch; /* in a batch that is being written */
@@ -103,7 +103,7 @@
 };
 
 /* A member listed in an agent's inventory that has not been matched to a job yet. */
-struct reported_member {
+struct listed_member {
 	struct coord_agent *agent;
 	struct member_record record;
 };
@@ -114,8 +114,8 @@
 	struct sched *sched;
 	uint64_t term;
 	int64_t term_started_at;
-	int64_t wall;		 /* wall time at wall_sampled_at */
-	int64_t wall_sampled_at; /* monotonic */
+	int64_t wall;	     /* wall time at latest_tick */
+	int64_t latest_tick; /* monotonic */
 	bool settled;
 	bool handing_over; /* a planned stop has begun */
 	bool store_up;
@@ -126,7 +126,7 @@
 	GHashTable *entries;	     /* set of peer_id */
 	GHashTable *previous_roster; /* name -> incarnation, from the previous term */
 	GHashTable *saved_roster;    /* name -> incarnation, as stored last */
-	GPtrArray *reported_members;
+	GPtrArray *listed_members;
 	GPtrArray *dead_incarnations;
 	char *saved_roster_text;
 	TAILQ_HEAD(, coord_job) ended; /* oldest first */
@@ -138,9 +138,9 @@
 };
 
 /* coord.c */
-void coord_record_restarted_agent(
+void coord_check_agent_restart(
 	struct coord *c, int64_t now, const char *name, uint64_t incarnation);
-void coord_record_dead_agent(struct coord *c, int64_t now, const struct coord_agent *a);
+void coord_add_dead_agent(struct coord *c, int64_t now, const struct coord_agent *a);
 int64_t coord_wall(const struct coord *c, int64_t now);
 void coord_audit(struct coord *c, int64_t now, const char *what, const char *who,
 	const char *job, const char *detail);
@@ -175,19 +175,21 @@
 void run_dispatch(struct coord *c, int64_t now, struct coord_job *j);
 void run_reserved(
 	struct coord *c, int64_t now, struct coord_agent *a, const struct msg_reserved *m);
-void run_record_end(
+void run_end_member(
 	struct coord *c, int64_t now, struct coord_agent *a, const struct msg_ended *m);
 void run_handle_ended(
 	struct coord *c, int64_t now, struct coord_agent *a, const struct msg_ended *m);
-void run_close_members(struct coord *c, int64_t now, struct coord_agent *a, bool may_report);
+void run_end_missing_members(
+	struct coord *c, int64_t now, struct coord_agent *a, bool inventory_handled);
 void run_check_timeouts(struct coord *c, int64_t now);
 void run_send_stop(
 	struct coord *c, peer_id peer, const char *job, uint32_t attempt, enum stop_mode mode);
 
 /* coord-settle.c */
-void reported_member_free(void *p);
+void listed_member_free(void *p);
 void settle_drop_inventory(struct coord *c, const struct coord_agent *a);
-bool settle_record_end(struct coord *c, const struct coord_agent *a, const struct msg_ended *m);
+bool settle_update_listed_end(
+	struct coord *c, const struct coord_agent *a, const struct msg_ended *m);
 void settle_handle_inventory(
 	struct coord *c, struct coord_agent *a, const struct msg_inventory *inv);
 void settle_advance(struct coord *c, int64_t now);
--- a/packages/coordination/coord-run.c
+++ b/packages/coordination/coord-run.c
@@ -19,7 +19,7 @@
 }
 
 /* Return the addresses of the agents of all members, ordered by member ("ADDR,ADDR,..."). */
-static char *gang_roster(const struct coord_job *j)
+static char *member_addrs(const struct coord_job *j)
 {
 	GString *out = g_string_new(NULL);
 
@@ -85,7 +85,7 @@
 		abort_attempt(c, now, j);
 		return;
 	}
-	roster = gang_roster(j);
+	roster = member_addrs(j);
 	j->dispatched = true;
 	j->reserve_deadline = now + COORD_RESERVE_TIMEOUT_NS;
 	for (uint32_t i = 0; all && i < j->size; i++) {
@@ -122,7 +122,7 @@
 	free(j->placed);
 	j->placed = xstrdup(placed->str);
 	g_string_free(placed, TRUE);
-	j->record_attempt = attempt;
+	j->last_attempt = attempt;
 	log_info("coord", "Placed a job on %s. job=%s attempt=%u term=%" PRIu64, j->placed,
 		j->spec.id, attempt, c->term);
 	if (j->spec.durable && !j->spec.idempotent) {
@@ -295,7 +295,7 @@
 }
 
 /* Record the end of a member and acknowledge it. */
-void run_record_end(
+void run_end_member(
 	struct coord *c, int64_t now, struct coord_agent *a, const struct msg_ended *m)
 {
 	struct coord_job *j = job_find(c, m->job);
@@ -324,17 +324,18 @@
 void run_handle_ended(
 	struct coord *c, int64_t now, struct coord_agent *a, const struct msg_ended *m)
 {
-	if (m->job != NULL && !settle_record_end(c, a, m))
-		run_record_end(c, now, a, m);
+	if (m->job != NULL && !settle_update_listed_end(c, a, m))
+		run_end_member(c, now, a, m);
 }
 
 /*
- * Close the open members of an agent. With may_report, the agent has reconnected and its
+ * Close the open members of an agent. With inventory_handled, the agent has reconnected and its
  * inventory has been processed: confirmed members of the same incarnation stay open, and the
  * inventory proves that the others never started. Without it, the agent is dead or has
  * restarted: a member that was told to start is lost, and the others never started.
  */
-void run_close_members(struct coord *c, int64_t now, struct coord_agent *a, bool may_report)
+void run_end_missing_members(
+	struct coord *c, int64_t now, struct coord_agent *a, bool inventory_handled)
 {
 	g_autoptr(GPtrArray) jobs = g_ptr_array_new();
 	GHashTableIter it;
@@ -355,12 +356,13 @@
 
 			if (m->agent != a || m->ended || !m->sent)
 				continue;
-			if (may_report && m->incarnation == a->incarnation && m->reserved)
+			if (inventory_handled && m->incarnation == a->incarnation &&
+				m->reserved)
 				continue;
 			m->ended = true;
 			sched_member_ended(c->sched, now, j->ref, j->attempt, i,
-				m->start_sent && !may_report ? MEMBER_END_LOST
-							     : MEMBER_END_NEVER_STARTED,
+				m->start_sent && !inventory_handled ? MEMBER_END_LOST
+								    : MEMBER_END_NEVER_STARTED,
 				0);
 		}
 	}
--- a/packages/coordination/coord-settle.c
+++ b/packages/coordination/coord-settle.c
@@ -45,7 +45,7 @@
  * Whether the agents on which a job was placed ("NAME/INCARNATION,...") have all sent an
  * inventory and have not restarted, so that their not listing the job proves it is not there.
  */
-static bool absent_where_placed(struct coord *c, const char *placed)
+static bool all_placed_agents_present(struct coord *c, const char *placed)
 {
 	g_auto(GStrv) parts = g_strsplit(placed != NULL ? placed : "", ",", -1);
 
@@ -72,7 +72,7 @@
 		.end = r->end,
 		.result = r->result};
 
-	run_record_end(c, now, a, &m);
+	run_end_member(c, now, a, &m);
 }
 
 /* Match a listed member to its job, and stop it if it is not of the current attempt. */
@@ -93,31 +93,31 @@
 	run_reserved(c, now, a, &ok);
 }
 
-void reported_member_free(void *p)
+void listed_member_free(void *p)
 {
-	struct reported_member *rm = p;
+	struct listed_member *lm = p;
 
-	fields_clear(&member_record_fields, &rm->record);
-	free(rm);
+	fields_clear(&member_record_fields, &lm->record);
+	free(lm);
 }
 
 /* Keep a listed member until its job is settled. */
-static void keep_reported_member(
+static void keep_listed_member(
 	struct coord *c, struct coord_agent *a, const struct member_record *r)
 {
-	struct reported_member *rm = xcalloc(1, sizeof(*rm));
+	struct listed_member *lm = xcalloc(1, sizeof(*lm));
 
-	rm->agent = a;
-	fields_copy(&member_record_fields, &rm->record, r);
-	g_ptr_array_add(c->reported_members, rm);
+	lm->agent = a;
+	fields_copy(&member_record_fields, &lm->record, r);
+	g_ptr_array_add(c->listed_members, lm);
 }
 
 /* Drop the listed members of an agent that died, restarted or sends a new inventory. */
 void settle_drop_inventory(struct coord *c, const struct coord_agent *a)
 {
-	for (guint i = c->reported_members->len; i-- > 0;) {
-		if (((struct reported_member *)c->reported_members->pdata[i])->agent == a)
-			g_ptr_array_remove_index(c->reported_members, i);
+	for (guint i = c->listed_members->len; i-- > 0;) {
+		if (((struct listed_member *)c->listed_members->pdata[i])->agent == a)
+			g_ptr_array_remove_index(c->listed_members, i);
 	}
 }
 
@@ -125,18 +125,19 @@
  * Record the end of a listed member whose job has not been settled yet; settling the job
  * acknowledges it. False if no such member was listed.
  */
-bool settle_record_end(struct coord *c, const struct coord_agent *a, const struct msg_ended *m)
+bool settle_update_listed_end(
+	struct coord *c, const struct coord_agent *a, const struct msg_ended *m)
 {
-	for (guint i = 0; i < c->reported_members->len; i++) {
-		struct reported_member *rm = c->reported_members->pdata[i];
+	for (guint i = 0; i < c->listed_members->len; i++) {
+		struct listed_member *lm = c->listed_members->pdata[i];
 
-		if (rm->agent != a || strcmp(rm->record.spec.id, m->job) != 0 ||
-			rm->record.attempt != m->attempt || rm->record.member != m->member)
+		if (lm->agent != a || strcmp(lm->record.spec.id, m->job) != 0 ||
+			lm->record.attempt != m->attempt || lm->record.member != m->member)
 			continue;
-		rm->record.state = MEMBER_ENDED;
-		rm->record.end = m->end;
-		fields_clear(&job_result_fields, &rm->record.result);
-		fields_copy(&job_result_fields, &rm->record.result, &m->result);
+		lm->record.state = MEMBER_ENDED;
+		lm->record.end = m->end;
+		fields_clear(&job_result_fields, &lm->record.result);
+		fields_copy(&job_result_fields, &lm->record.result, &m->result);
 		return true;
 	}
 	return false;
@@ -154,33 +155,33 @@
 		if (r->spec.id == NULL || r->spec.org == NULL)
 			continue;
 		if (j != NULL && (j->in_sched || j->ended))
-			reconcile_member(c, c->wall_sampled_at, a, j, r);
+			reconcile_member(c, c->latest_tick, a, j, r);
 		else
-			keep_reported_member(c, a, r);
+			keep_listed_member(c, a, r);
 	}
 }
 
 /* Return the listed members of a job's newest attempt, and stop those of older ones. */
-static GPtrArray *newest_attempt_of(struct coord *c, const char *id)
+static GPtrArray *select_newest_attempt(struct coord *c, const char *id)
 {
 	GPtrArray *group = g_ptr_array_new();
 	uint32_t newest = 0;
 
-	for (guint i = 0; i < c->reported_members->len; i++) {
-		struct reported_member *rm = c->reported_members->pdata[i];
+	for (guint i = 0; i < c->listed_members->len; i++) {
+		struct listed_member *lm = c->listed_members->pdata[i];
 
-		if (strcmp(rm->record.spec.id, id) == 0)
-			newest = MAX(newest, rm->record.attempt);
+		if (strcmp(lm->record.spec.id, id) == 0)
+			newest = MAX(newest, lm->record.attempt);
 	}
-	for (guint i = 0; i < c->reported_members->len; i++) {
-		struct reported_member *rm = c->reported_members->pdata[i];
+	for (guint i = 0; i < c->listed_members->len; i++) {
+		struct listed_member *lm = c->listed_members->pdata[i];
 
-		if (strcmp(rm->record.spec.id, id) != 0)
+		if (strcmp(lm->record.spec.id, id) != 0)
 			continue;
-		if (rm->record.attempt == newest)
-			g_ptr_array_add(group, rm);
-		else if (rm->record.state != MEMBER_ENDED)
-			run_send_stop(c, rm->agent->peer, id, rm->record.attempt, STOP_NOW);
+		if (lm->record.attempt == newest)
+			g_ptr_array_add(group, lm);
+		else if (lm->record.state != MEMBER_ENDED)
+			run_send_stop(c, lm->agent->peer, id, lm->record.attempt, STOP_NOW);
 	}
 	return group;
 }
@@ -189,11 +190,11 @@
 static bool none_started(const GPtrArray *group)
 {
 	for (guint i = 0; i < group->len; i++) {
-		const struct reported_member *rm = group->pdata[i];
-		bool never = rm->record.state == MEMBER_ENDED &&
-			     rm->record.end == MEMBER_END_NEVER_STARTED;
+		const struct listed_member *lm = group->pdata[i];
+		bool never = lm->record.state == MEMBER_ENDED &&
+			     lm->record.end == MEMBER_END_NEVER_STARTED;
 
-		if (rm->record.state != MEMBER_RESERVED && !never)
+		if (lm->record.state != MEMBER_RESERVED && !never)
 			return false;
 	}
 	return true;
@@ -202,27 +203,27 @@
 /* Whether all members of an attempt were listed; one that was not may have started. */
 static bool is_complete(const GPtrArray *group)
 {
-	return group->len == ((struct reported_member *)group->pdata[0])->record.size;
+	return group->len == ((struct listed_member *)group->pdata[0])->record.size;
 }
 
 /* Handle the members of a group that were listed as ended. */
 static void replay_group_ends(struct coord *c, int64_t now, const GPtrArray *group)
 {
 	for (guint i = 0; i < group->len; i++) {
-		struct reported_member *rm = group->pdata[i];
+		struct listed_member *lm = group->pdata[i];
 
-		if (rm->record.state == MEMBER_ENDED)
-			replay_member_end(c, now, rm->agent, &rm->record);
+		if (lm->record.state == MEMBER_ENDED)
+			replay_member_end(c, now, lm->agent, &lm->record);
 	}
 }
 
 /* Release the reservations of a group. */
-static void release_group(struct coord *c, const GPtrArray *group)
+static void stop_group(struct coord *c, const GPtrArray *group)
 {
 	for (guint i = 0; i < group->len; i++) {
-		const struct reported_member *rm = group->pdata[i];
+		const struct listed_member *lm = group->pdata[i];
 
-		run_send_stop(c, rm->agent->peer, rm->record.spec.id, rm->record.attempt,
+		run_send_stop(c, lm->agent->peer, lm->record.spec.id, lm->record.attempt,
 			STOP_RELEASE);
 	}
 }
@@ -231,12 +232,12 @@
 static void resume_gang_start(struct coord *c, struct coord_job *j, const GPtrArray *group)
 {
 	for (guint i = 0; i < group->len; i++) {
-		const struct reported_member *rm = group->pdata[i];
+		const struct listed_member *lm = group->pdata[i];
 		struct msg m = {.kind = MSG_START,
 			.start = {.term = c->term, .job = j->spec.id, .attempt = j->attempt}};
 
-		if (rm->record.state == MEMBER_RESERVED)
-			coord_send(c, rm->agent->peer, &m);
+		if (lm->record.state == MEMBER_RESERVED)
+			coord_send(c, lm->agent->peer, &m);
 	}
 }
 
@@ -244,26 +245,26 @@
 static void adopt_job(struct coord *c, int64_t now, struct coord_job *j, GPtrArray *group)
 {
 	struct sched_member members[SCHED_MEMBERS_MAX] = {0};
-	const struct reported_member *first = group->pdata[0];
+	const struct listed_member *first = group->pdata[0];
 	uint32_t len = MIN(group->len, (guint)SCHED_MEMBERS_MAX);
 	bool complete = is_complete(group);
 	int64_t running = 0;
 
 	for (uint32_t i = 0; i < len; i++) {
-		const struct reported_member *rm = group->pdata[i];
+		const struct listed_member *lm = group->pdata[i];
 
-		members[i].worker = rm->agent->worker;
-		members[i].accelerators = rm->record.accelerators;
-		running = MAX(running, rm->record.running_ms * NSEC_PER_MSEC);
-		j->members[i] = (struct coord_member){.agent = rm->agent,
-			.incarnation = rm->agent->incarnation,
+		members[i].worker = lm->agent->worker;
+		members[i].accelerators = lm->record.accelerators;
+		running = MAX(running, lm->record.running_ms * NSEC_PER_MSEC);
+		j->members[i] = (struct coord_member){.agent = lm->agent,
+			.incarnation = lm->agent->incarnation,
 			.sent = true,
 			.reserved = true,
 			.start_sent = true};
 	}
 	j->size = len;
 	j->attempt = first->record.attempt;
-	j->record_attempt = j->attempt;
+	j->last_attempt = j->attempt;
 	j->dispatched = true;
 	j->started = true;
 	j->in_sched = true;
@@ -282,7 +283,7 @@
 static bool all_have_workers(const GPtrArray *group)
 {
 	for (guint i = 0; i < group->len; i++) {
-		if (!((struct reported_member *)group->pdata[i])->agent->has_worker)
+		if (!((struct listed_member *)group->pdata[i])->agent->has_worker)
 			return false;
 	}
 	return true;
@@ -300,7 +301,7 @@
 static bool all_ended(const GPtrArray *group)
 {
 	for (guint i = 0; i < group->len; i++) {
-		if (((struct reported_member *)group->pdata[i])->record.state != MEMBER_ENDED)
+		if (((struct listed_member *)group->pdata[i])->record.state != MEMBER_ENDED)
 			return false;
 	}
 	return true;
@@ -313,7 +314,7 @@
  */
 static bool is_abandoned(struct coord *c, const GPtrArray *group)
 {
-	const struct job_spec *spec = &((struct reported_member *)group->pdata[0])->record.spec;
+	const struct job_spec *spec = &((struct listed_member *)group->pdata[0])->record.spec;
 
 	if (is_wanted(c, spec))
 		return false;
@@ -324,14 +325,14 @@
 /* Acknowledge the ends of a group and release its reservations. */
 static void discard_group(struct coord *c, int64_t now, const GPtrArray *group)
 {
-	release_group(c, group);
+	stop_group(c, group);
 	replay_group_ends(c, now, group);
 }
 
 /* Decide what becomes of a listed job. */
 static void settle_group(struct coord *c, int64_t now, GPtrArray *group)
 {
-	struct reported_member *first = group->pdata[0];
+	struct listed_member *first = group->pdata[0];
 	struct coord_job *j = job_find(c, first->record.spec.id);
 
 	if (is_abandoned(c, group)) {
@@ -340,40 +341,40 @@
 	}
 	if (j == NULL)
 		j = job_add(c, now, &first->record.spec);
-	j->record_attempt = MAX(j->record_attempt, first->record.attempt);
+	j->last_attempt = MAX(j->last_attempt, first->record.attempt);
 	if (j->in_sched || j->ended) {
 		for (guint i = 0; i < group->len; i++) {
-			struct reported_member *rm = group->pdata[i];
+			struct listed_member *lm = group->pdata[i];
 
-			reconcile_member(c, now, rm->agent, j, &rm->record);
+			reconcile_member(c, now, lm->agent, j, &lm->record);
 		}
 	} else if (none_started(group)) {
-		release_group(c, group);
+		stop_group(c, group);
 		j->may_have_started = !is_complete(group) && !j->spec.idempotent;
 		if (!j->may_have_started)
 			job_submit_to_sched(c, now, j);
 	} else if (all_have_workers(group)) {
 		adopt_job(c, now, j, group);
 	} else {
-		release_group(c, group);
+		stop_group(c, group);
 	}
 }
 
 /* Settle all listed members, job by job. */
 static void settle_groups(struct coord *c, int64_t now)
 {
-	while (c->reported_members->len > 0) {
-		struct reported_member *first = c->reported_members->pdata[0];
+	while (c->listed_members->len > 0) {
+		struct listed_member *first = c->listed_members->pdata[0];
 		AUTOFREE char *id = xstrdup(first->record.spec.id);
-		GPtrArray *group = newest_attempt_of(c, id);
+		GPtrArray *group = select_newest_attempt(c, id);
 
 		settle_group(c, now, group);
 		g_ptr_array_unref(group);
-		for (guint i = c->reported_members->len; i-- > 0;) {
-			const struct reported_member *rm = c->reported_members->pdata[i];
+		for (guint i = c->listed_members->len; i-- > 0;) {
+			const struct listed_member *lm = c->listed_members->pdata[i];
 
-			if (strcmp(rm->record.spec.id, id) == 0)
-				g_ptr_array_remove_index(c->reported_members, i);
+			if (strcmp(lm->record.spec.id, id) == 0)
+				g_ptr_array_remove_index(c->listed_members, i);
 		}
 	}
 }
@@ -385,7 +386,7 @@
 		const struct job_record *r = records->pdata[i];
 		struct coord_job *j = job_add(c, now, &r->spec);
 
-		j->record_attempt = r->attempt;
+		j->last_attempt = r->attempt;
 		j->placed = xstrdup(r->placed);
 		if (r->result.outcome == OUTCOME_NONE) {
 			j->may_have_started = true;
@@ -402,7 +403,7 @@
 	if (j->spec.idempotent)
 		return true;
 	if (j->spec.durable)
-		return j->record_attempt == 0 || absent_where_placed(c, j->placed);
+		return j->last_attempt == 0 || all_placed_agents_present(c, j->placed);
 	return settle_all_agents_present(c, &j->spec);
 }
 
@@ -430,7 +431,7 @@
 
 		if (is_safe_to_run(c, j)) {
 			j->may_have_started = false;
-			j->record_attempt = MAX(j->record_attempt, coord_attempt_floor(c));
+			j->last_attempt = MAX(j->last_attempt, coord_attempt_floor(c));
 			job_submit_to_sched(c, now, j);
 		} else if (late && now - j->submitted_at > COORD_SETTLE_TIMEOUT_NS) {
 			job_end(c, now, j, &lost);
--- a/packages/coordination/coord.c
+++ b/packages/coordination/coord.c
@@ -8,7 +8,7 @@
 
 GAUGE(term_gauge, "damaskpath_coordinator_term", "Term of this process as coordinator, or 0.");
 GAUGE(queued_gauge, "damaskpath_jobs_queued", "Jobs waiting in this cell.");
-GAUGE(running_gauge, "damaskpath_jobs_placed", "Jobs placed in this cell.");
+GAUGE(placed_gauge, "damaskpath_jobs_placed", "Jobs placed in this cell.");
 
 static void dead_incarnation_free(void *p)
 {
@@ -31,7 +31,7 @@
 	c->entries = g_hash_table_new_full(g_int64_hash, g_int64_equal, free, NULL);
 	c->previous_roster = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free);
 	c->saved_roster = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free);
-	c->reported_members = g_ptr_array_new_with_free_func(reported_member_free);
+	c->listed_members = g_ptr_array_new_with_free_func(listed_member_free);
 	c->dead_incarnations = g_ptr_array_new_with_free_func(dead_incarnation_free);
 	c->grace = 5 * NSEC_PER_SEC;
 	c->store_up = true;
@@ -48,7 +48,7 @@
 	if (c == NULL)
 		return;
 	counter_set(&term_gauge, 0);
-	g_ptr_array_unref(c->reported_members);
+	g_ptr_array_unref(c->listed_members);
 	g_ptr_array_unref(c->dead_incarnations);
 	g_hash_table_destroy(c->jobs);
 	g_hash_table_destroy(c->agents);
@@ -79,7 +79,7 @@
  * Handle the first hello of an agent in this term. If it has restarted since the previous term,
  * its old incarnation is recorded as dead.
  */
-void coord_record_restarted_agent(
+void coord_check_agent_restart(
 	struct coord *c, int64_t now, const char *name, uint64_t incarnation)
 {
 	const uint64_t *old = g_hash_table_lookup(c->previous_roster, name);
@@ -108,7 +108,7 @@
 }
 
 /* Record that an agent died or restarted, so that what it ran is unknown from now on. */
-void coord_record_dead_agent(struct coord *c, int64_t now, const struct coord_agent *a)
+void coord_add_dead_agent(struct coord *c, int64_t now, const struct coord_agent *a)
 {
 	add_dead_incarnation(c, a->name, a->incarnation, coord_wall(c, now) / NSEC_PER_MSEC);
 }
@@ -147,7 +147,7 @@
 	c->term = term;
 	c->term_started_at = now;
 	c->wall = wall;
-	c->wall_sampled_at = now;
+	c->latest_tick = now;
 	counter_set(&term_gauge, term);
 	parse_roster(c->previous_roster, c, roster);
 	sched_set_settling(c->sched, true);
@@ -220,7 +220,7 @@
 /* Convert a monotonic time to wall time. */
 int64_t coord_wall(const struct coord *c, int64_t now)
 {
-	return c->wall + now - c->wall_sampled_at;
+	return c->wall + now - c->latest_tick;
 }
 
 /* Send a message; false if the peer is not connected. */
@@ -335,7 +335,7 @@
 	while (g_hash_table_iter_next(&it, &key, NULL))
 		coord_send(c, *(peer_id *)key, &m);
 	counter_set(&queued_gauge, sched_queued_count(c->sched));
-	counter_set(&running_gauge, sched_running_count(c->sched));
+	counter_set(&placed_gauge, sched_running_count(c->sched));
 	c->last_summary = now;
 }
 
@@ -362,7 +362,7 @@
 void coord_tick(struct coord *c, int64_t now, int64_t wall)
 {
 	c->wall = wall;
-	c->wall_sampled_at = now;
+	c->latest_tick = now;
 	settle_advance(c, now);
 	agent_check_timeouts(c, now);
 	run_check_timeouts(c, now);
