--- a/packages/coordination/coord-private.h
+++ b/packages/coordination/coord-private.h
@@ -4,8 +4,19 @@
 #include "coord.h"
 
 /*
- * Internals of the coordinator. "Settling" is the recovery phase after a takeover, in which the
- * coordinator collects the inventories of the agents and places no jobs.
+ * Internals of the coordinator.
+ *
+ * Settling is the recovery after a takeover. To settle a job is to decide what becomes of a job
+ * of an earlier term: it is adopted, submitted to the scheduler again, discarded, stopped, or
+ * ended as unknown. While coord.settled is false, the coordinator collects the inventories of
+ * the agents and places no jobs. Jobs that turn up or are decided later are settled after that
+ * phase, at each tick.
+ *
+ * A listed member is one that an agent's inventory contains. A job record is what the store
+ * holds of a durable job, and a member_record is an item of an inventory.
+ *
+ * Times are in nanoseconds, except those whose names end in _ms. Members named wall or *_wall
+ * count from 1970; all other points in time are monotonic.
  */
 
 #define COORD_BEAT_MS			 1000
@@ -34,15 +45,15 @@
 	peer_id peer;
 	uint32_t worker; /* handle in the scheduler, valid if has_worker */
 	bool has_worker;
-	bool report_accepted;
-	bool inventory; /* has sent its inventory on this connection */
+	bool report_accepted; /* report is valid: no other connected agent has the worker */
+	bool inventory;	      /* has sent its inventory on this connection */
 	bool serving;
 	bool dead;
 	bool suspected;
 	int64_t last_seen;
 	uint32_t busy;
-	uint32_t usage_percent;
-	uint64_t config_revision;
+	uint32_t usage_percent;	  /* as announced by the upstream; only shown in queries */
+	uint64_t config_revision; /* config_number that the agent has confirmed last */
 	struct msg_report report;
 };
 
@@ -63,11 +74,11 @@
 	bool in_sched;	       /* known to the scheduler */
 	bool accepting;	       /* not accepted until its record is written */
 	bool may_have_started; /* an earlier term may have started it */
-	bool dispatched;
-	bool started;
+	bool dispatched;       /* the reservations of the attempt were sent */
+	bool started;	       /* the attempt runs, or has run */
 	bool ended;
-	uint32_t attempt;
-	uint32_t size;
+	uint32_t attempt; /* the current or latest attempt */
+	uint32_t size;	  /* number of members of the attempt; 0 after it was aborted */
 	struct coord_member members[SCHED_MEMBERS_MAX];
 	int64_t reserve_deadline;
 	bool write_before_start; /* dispatched only once its record is written */
@@ -79,13 +90,17 @@
 	int64_t ended_at;
 	int64_t ended_wall;
 	int64_t submitted_at;
+	/*
+	 * Highest attempt number that this or an earlier term may have used, also kept in the
+	 * job record; 0 if the job is known never to have been placed.
+	 */
 	uint32_t last_attempt;
-	char *placed;  /* agents of the attempt: "NAME/INCARNATION,..." */
-	bool dirty;    /* the stored record is out of date */
-	bool in_batch; /* in a batch that is being written */
-	bool remove;   /* the record is to be deleted */
-	uint64_t version;
-	uint64_t written_version;
+	char *placed;		  /* agents of the attempt: "NAME/INCARNATION,..." */
+	bool dirty;		  /* the stored record is out of date */
+	bool in_batch;		  /* in a batch that is being written */
+	bool remove;		  /* the record is to be deleted */
+	uint64_t version;	  /* counts the changes of the record */
+	uint64_t written_version; /* the version stored last; never read */
 	TAILQ_ENTRY(coord_job) ended_entry;
 };
 
@@ -102,7 +117,7 @@
 	int64_t wall_ms;
 };
 
-/* A member listed in an agent's inventory that has not been matched to a job yet. */
+/* A listed member whose job has not been settled yet. */
 struct listed_member {
 	struct coord_agent *agent;
 	struct member_record record;
@@ -115,26 +130,26 @@
 	uint64_t term;
 	int64_t term_started_at;
 	int64_t wall;	     /* wall time at latest_tick */
-	int64_t latest_tick; /* monotonic */
-	bool settled;
-	bool handing_over; /* a planned stop has begun */
+	int64_t latest_tick; /* of the last coord_tick, or the start of the term */
+	bool settled;	     /* jobs are placed, see above */
+	bool handing_over;   /* a planned stop has begun */
 	bool store_up;
-	uint64_t config_number;
+	uint64_t config_number;	     /* of the current configuration, sent as config_revision */
 	int64_t grace;		     /* time a job gets to stop, nanoseconds */
 	GHashTable *agents;	     /* name -> struct coord_agent */
 	GHashTable *jobs;	     /* id -> struct coord_job */
-	GHashTable *entries;	     /* set of peer_id */
+	GHashTable *entries;	     /* connected entries, see coord.h: set of peer_id */
 	GHashTable *previous_roster; /* name -> incarnation, from the previous term */
 	GHashTable *saved_roster;    /* name -> incarnation, as stored last */
-	GPtrArray *listed_members;
+	GPtrArray *listed_members;   /* struct listed_member */
 	GPtrArray *dead_incarnations;
 	char *saved_roster_text;
 	TAILQ_HEAD(, coord_job) ended; /* oldest first */
 	uint32_t ended_len;
 	uint64_t ended_bytes; /* size of the results in ended */
 	int64_t last_summary;
-	int64_t last_config;
-	GQueue audit; /* JSON lines, oldest first */
+	int64_t last_config; /* unused */
+	GQueue audit;	     /* JSON lines, oldest first */
 };
 
 /* coord.c */
@@ -142,8 +157,8 @@
 	struct coord *c, int64_t now, const char *name, uint64_t incarnation);
 void coord_add_dead_agent(struct coord *c, int64_t now, const struct coord_agent *a);
 int64_t coord_wall(const struct coord *c, int64_t now);
-void coord_audit(struct coord *c, int64_t now, const char *what, const char *who,
-	const char *job, const char *detail);
+void coord_audit(struct coord *c, int64_t now, const char *event, const char *actor,
+	const char *subject, const char *detail);
 uint32_t coord_attempt_floor(const struct coord *c);
 bool coord_send(struct coord *c, peer_id peer, const struct msg *m);
 
