--- a/packages/coordination/coord-settle.c
+++ b/packages/coordination/coord-settle.c
@@ -7,8 +7,11 @@
 /*
  * Recovery after a takeover. A new coordinator rebuilds its state from two sources: the agents,
  * which know what runs and what ended, and the store, which has the durable jobs. An agent that
- * has adopted our term refuses the messages of older ones, so its inventory is final: what it
- * does not list can no longer start there.
+ * has adopted the new coordinator's term refuses the messages of older ones, so its inventory
+ * is final: what it does not list can no longer start there.
+ *
+ * A group is the listed members of the newest attempt of one job. It is complete if it has all
+ * members of that attempt; the group of a job with one member is always complete.
  */
 
 /* Whether an agent that may have been told to start a job has died since its submission. */
@@ -43,7 +46,8 @@
 
 /*
  * Whether the agents on which a job was placed ("NAME/INCARNATION,...") have all sent an
- * inventory and have not restarted, so that their not listing the job proves it is not there.
+ * inventory and have not restarted. The inventories are not searched for the job: the listed
+ * members have been settled before, so a job that is still uncertain has not started there.
  */
 static bool all_placed_agents_present(struct coord *c, const char *placed)
 {
@@ -122,8 +126,8 @@
 }
 
 /*
- * Record the end of a listed member whose job has not been settled yet; settling the job
- * acknowledges it. False if no such member was listed.
+ * Note in the list that a listed member has ended whose job has not been settled yet; settling
+ * the job handles and acknowledges the end. False if the list does not have the member.
  */
 bool settle_update_listed_end(
 	struct coord *c, const struct coord_agent *a, const struct msg_ended *m)
@@ -143,7 +147,11 @@
 	return false;
 }
 
-/* Handle an agent's inventory. */
+/*
+ * Handle an agent's inventory: match the members of jobs that are in the scheduler or have
+ * ended, and keep the others until their jobs are settled. The time of the last tick, at most
+ * one tick ago, is used as the current time.
+ */
 void settle_handle_inventory(
 	struct coord *c, struct coord_agent *a, const struct msg_inventory *inv)
 {
@@ -206,7 +214,7 @@
 	return group->len == ((struct listed_member *)group->pdata[0])->record.size;
 }
 
-/* Handle the members of a group that were listed as ended. */
+/* Handle the members of a group that were listed as ended, and acknowledge their ends. */
 static void replay_group_ends(struct coord *c, int64_t now, const GPtrArray *group)
 {
 	for (guint i = 0; i < group->len; i++) {
@@ -217,7 +225,10 @@
 	}
 }
 
-/* Release the reservations of a group. */
+/*
+ * Tell the agents to release the members of a group. A reserved member ends as never started,
+ * and the task of a running one is stopped as with STOP_NOW.
+ */
 static void stop_group(struct coord *c, const GPtrArray *group)
 {
 	for (guint i = 0; i < group->len; i++) {
@@ -289,7 +300,11 @@
 	return true;
 }
 
-/* Whether a job is durable, in the scheduler, ended or waited for by an entry. */
+/*
+ * Whether the members of a job must not be discarded, because its result may still be asked
+ * for: a durable job even if no entry waits for it, other jobs only if they are in the
+ * scheduler, have ended, or have an entry that waits.
+ */
 static bool is_wanted(struct coord *c, const struct job_spec *spec)
 {
 	const struct coord_job *j = job_find(c, spec->id);
@@ -308,9 +323,10 @@
 }
 
 /*
- * Whether a group belongs to a job that no entry waits for, because the previous coordinator
- * has answered: one that never started and may have been cancelled, or an idempotent one of
- * which only some members are listed, all ended. An entry that still wants it resubmits it.
+ * Whether a group can be discarded: the job is not wanted, and either none of its listed
+ * members was started, or it is idempotent, the group is incomplete and all its members have
+ * ended. It is taken for the rest of a job that the previous coordinator has answered, for
+ * example as cancelled. An entry that still needs the result submits the job again.
  */
 static bool is_abandoned(struct coord *c, const GPtrArray *group)
 {
@@ -322,14 +338,23 @@
 	       (spec->idempotent && !is_complete(group) && all_ended(group));
 }
 
-/* Acknowledge the ends of a group and release its reservations. */
+/* Stop the members of a group, and acknowledge the ends of those that have ended. */
 static void discard_group(struct coord *c, int64_t now, const GPtrArray *group)
 {
 	stop_group(c, group);
 	replay_group_ends(c, now, group);
 }
 
-/* Decide what becomes of a listed job. */
+/*
+ * Settle the job of a group:
+ * - a group that can be discarded is discarded;
+ * - the group of a job that is in the scheduler or has ended is matched to it;
+ * - if no member has started, the reservations are released, and the job is submitted to the
+ *   scheduler; but if it is not idempotent and the group is incomplete, an unlisted member may
+ *   have started, and settle_uncertain_jobs decides;
+ * - a job that has started is adopted, if the scheduler knows the workers of all members;
+ * - otherwise the members are stopped.
+ */
 static void settle_group(struct coord *c, int64_t now, GPtrArray *group)
 {
 	struct listed_member *first = group->pdata[0];
@@ -360,7 +385,7 @@
 	}
 }
 
-/* Settle all listed members, job by job. */
+/* Settle the jobs of all listed members. */
 static void settle_groups(struct coord *c, int64_t now)
 {
 	while (c->listed_members->len > 0) {
@@ -408,12 +433,13 @@
 }
 
 /*
- * Run the jobs that an earlier term may have started where that is safe, and end the others as
- * unknown after COORD_UNKNOWN_OUTCOME_TIMEOUT_NS.
+ * Run the jobs that an earlier term may have started where that is safe. The others end as
+ * unknown once the term is older than COORD_UNKNOWN_OUTCOME_TIMEOUT_NS and this coordinator has
+ * had the job for COORD_SETTLE_TIMEOUT_NS.
  */
 static void settle_uncertain_jobs(struct coord *c, int64_t now)
 {
-	g_autoptr(GPtrArray) open = g_ptr_array_new();
+	g_autoptr(GPtrArray) uncertain_jobs = g_ptr_array_new();
 	bool late = now - c->term_started_at > COORD_UNKNOWN_OUTCOME_TIMEOUT_NS;
 	GHashTableIter it;
 	gpointer value;
@@ -421,10 +447,10 @@
 	g_hash_table_iter_init(&it, c->jobs);
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
 		if (((struct coord_job *)value)->may_have_started)
-			g_ptr_array_add(open, value);
+			g_ptr_array_add(uncertain_jobs, value);
 	}
-	for (guint i = 0; i < open->len; i++) {
-		struct coord_job *j = open->pdata[i];
+	for (guint i = 0; i < uncertain_jobs->len; i++) {
+		struct coord_job *j = uncertain_jobs->pdata[i];
 		struct job_result lost = {.outcome = OUTCOME_UNKNOWN,
 			.error = ERR_UNKNOWN_OUTCOME,
 			.detail = "a worker that may have run the job is gone"};
@@ -456,8 +482,9 @@
 }
 
 /*
- * Finish settling once all agents of the previous roster have sent their inventory, or after
- * COORD_SETTLE_TIMEOUT_NS. After that, settle what was listed later.
+ * Finish the settling phase once all agents of the previous roster have sent their inventory,
+ * or after COORD_SETTLE_TIMEOUT_NS. After that, settle at each call the jobs of members that
+ * were listed since, and those that are still uncertain.
  */
 void settle_advance(struct coord *c, int64_t now)
 {
