--- a/packages/coordination/coord-run.c
+++ b/packages/coordination/coord-run.c
@@ -18,7 +18,10 @@
 	coord_send(c, peer, &m);
 }
 
-/* Return the addresses of the agents of all members, ordered by member ("ADDR,ADDR,..."). */
+/*
+ * Return the addresses of the agents of all members, ordered by member ("ADDR,ADDR,..."). It is
+ * called roster in messages, but has nothing to do with coord_roster.
+ */
 static char *member_addrs(const struct coord_job *j)
 {
 	GString *out = g_string_new(NULL);
@@ -34,7 +37,7 @@
  * arrived, so that a member missing from the inventory is known never to have been reserved.
  */
 static void send_reserve(struct coord *c, struct coord_job *j, uint32_t member,
-	uint32_t accelerators, const char *roster)
+	uint32_t accelerators, const char *addrs)
 {
 	struct coord_member *m = &j->members[member];
 	struct msg out = {.kind = MSG_RESERVE};
@@ -46,7 +49,7 @@
 		.size = j->size,
 		.accelerators = accelerators,
 		.start = j->size == 1,
-		.roster = (char *)roster,
+		.roster = (char *)addrs,
 		.checkpoint = j->checkpoint};
 	m->sent = m->agent->inventory && coord_send(c, m->agent->peer, &out);
 	m->start_sent = m->sent && j->size == 1;
@@ -73,7 +76,7 @@
 void run_dispatch(struct coord *c, int64_t now, struct coord_job *j)
 {
 	const struct sched_job *s = sched_job(c->sched, j->ref);
-	g_autofree char *roster = NULL;
+	g_autofree char *addrs = NULL;
 	bool all = true;
 
 	if (s == NULL || s->attempt != j->attempt || s->members_len != j->size ||
@@ -85,11 +88,11 @@
 		abort_attempt(c, now, j);
 		return;
 	}
-	roster = member_addrs(j);
+	addrs = member_addrs(j);
 	j->dispatched = true;
 	j->reserve_deadline = now + COORD_RESERVE_TIMEOUT_NS;
 	for (uint32_t i = 0; all && i < j->size; i++) {
-		send_reserve(c, j, i, s->members[i].accelerators, roster);
+		send_reserve(c, j, i, s->members[i].accelerators, addrs);
 		all = j->members[i].sent;
 	}
 	if (!all)
@@ -157,7 +160,7 @@
 	}
 }
 
-/* Handle the end of a job in the scheduler: keep its explanation and record its result. */
+/* Handle the end of a job in the scheduler: keep its explanation and end it with its result. */
 static void on_end(
 	struct coord *c, int64_t now, struct coord_job *j, const struct sched_action *a)
 {
@@ -294,7 +297,11 @@
 	}
 }
 
-/* Record the end of a member and acknowledge it. */
+/*
+ * Handle the end of a member: keep its result, hand the end to the scheduler and acknowledge
+ * it. The scheduler is told how much run time a checkpoint saves; the time since submission is
+ * passed for that, which includes the time that the job has waited.
+ */
 void run_end_member(
 	struct coord *c, int64_t now, struct coord_agent *a, const struct msg_ended *m)
 {
@@ -320,7 +327,7 @@
 	acknowledge_end(c, a, j, m);
 }
 
-/* Handle the report that a member has ended, unless settling still has to match the member. */
+/* Handle the report that a member has ended; for a listed one, settling the job handles it. */
 void run_handle_ended(
 	struct coord *c, int64_t now, struct coord_agent *a, const struct msg_ended *m)
 {
@@ -329,10 +336,16 @@
 }
 
 /*
- * Close the open members of an agent. With inventory_handled, the agent has reconnected and its
- * inventory has been processed: confirmed members of the same incarnation stay open, and the
- * inventory proves that the others never started. Without it, the agent is dead or has
- * restarted: a member that was told to start is lost, and the others never started.
+ * Tell the scheduler that members of an agent have ended of which no report will come.
+ *
+ * With inventory_handled, the agent is connected and its inventory has been handled. Members
+ * that the same incarnation of the agent has confirmed, on this connection or an earlier one,
+ * are left, as their ends may still be reported; whether they are listed is not checked. The
+ * others have never started: if the inventory listed them, handling it would have confirmed
+ * them.
+ *
+ * Without it, the agent is dead or has restarted: a member that may have been told to start is
+ * lost, and the others have never started.
  */
 void run_end_missing_members(
 	struct coord *c, int64_t now, struct coord_agent *a, bool inventory_handled)
@@ -369,7 +382,11 @@
 	run_actions(c, now);
 }
 
-/* Abort attempts whose reservations were not all answered, or records not written, in time. */
+/*
+ * Abort attempts of gangs whose reservations were not all confirmed in time, and any attempts
+ * whose records were not written in time. A job of one member that was dispatched is not
+ * aborted.
+ */
 void run_check_timeouts(struct coord *c, int64_t now)
 {
 	g_autoptr(GPtrArray) expired = g_ptr_array_new();
