--- a/packages/coordination/coord.c
+++ b/packages/coordination/coord.c
@@ -63,7 +63,7 @@
 	free(c);
 }
 
-/* Remember that an incarnation of an agent has died. */
+/* Add an incarnation of an agent to those that have died. */
 static void add_dead_incarnation(
 	struct coord *c, const char *name, uint64_t incarnation, int64_t wall_ms)
 {
@@ -76,8 +76,9 @@
 }
 
 /*
- * Handle the first hello of an agent in this term. If it has restarted since the previous term,
- * its old incarnation is recorded as dead.
+ * Check at the first hello of an agent in this term whether the previous roster lists another
+ * incarnation of it. If so, the agent has restarted, and that incarnation is added to the dead
+ * ones.
  */
 void coord_check_agent_restart(
 	struct coord *c, int64_t now, const char *name, uint64_t incarnation)
@@ -88,7 +89,10 @@
 		add_dead_incarnation(c, name, *old, coord_wall(c, now) / NSEC_PER_MSEC);
 }
 
-/* Record agents of the previous term as dead that have not connected in time. */
+/*
+ * Remove agents of the previous roster that have not connected in time, and add their
+ * incarnations to the dead ones.
+ */
 static void declare_missing_agents_dead(struct coord *c, int64_t now)
 {
 	GHashTableIter it;
@@ -107,7 +111,11 @@
 	}
 }
 
-/* Record that an agent died or restarted, so that what it ran is unknown from now on. */
+/*
+ * Add the incarnation of an agent that has died or restarted to the dead ones. From then on,
+ * settle_all_agents_present is false for jobs submitted before, so those that are not
+ * idempotent are not run when an entry submits them again.
+ */
 void coord_add_dead_agent(struct coord *c, int64_t now, const struct coord_agent *a)
 {
 	add_dead_incarnation(c, a->name, a->incarnation, coord_wall(c, now) / NSEC_PER_MSEC);
@@ -115,7 +123,7 @@
 
 /*
  * Parse a roster, "NAME/INCARNATION,-NAME/INCARNATION@WALL_MS,...". Live agents go into table.
- * Entries with a minus sign are dead incarnations, which are added to c unless it is NULL.
+ * Items with a minus sign are dead incarnations, which are added to c unless it is NULL.
  */
 static void parse_roster(GHashTable *table, struct coord *c, const char *text)
 {
@@ -142,7 +150,7 @@
 
 /* Start a term that this process has won, and begin to settle. */
 void coord_start_term(struct coord *c, int64_t now, int64_t wall, uint64_t term,
-	const char *roster, GPtrArray *records, const struct doc *doc)
+	const char *roster, GPtrArray *records, const struct doc *config)
 {
 	c->term = term;
 	c->term_started_at = now;
@@ -151,16 +159,18 @@
 	counter_set(&term_gauge, term);
 	parse_roster(c->previous_roster, c, roster);
 	sched_set_settling(c->sched, true);
-	if (doc != NULL)
-		coord_set_doc(c, now, doc);
+	if (config != NULL)
+		coord_set_doc(c, now, config);
 	settle_load_records(c, now, records);
-	log_info("coord", "The term is ours; %u agents are expected. cell=%s term=%" PRIu64,
+	log_info("coord",
+		"The term is ours; waiting for the inventories of %u agents. cell=%s "
+		"term=%" PRIu64,
 		g_hash_table_size(c->previous_roster), c->cell, term);
 }
 
 /*
- * A job that an earlier term may have tried gets attempt numbers above this, which that term
- * cannot have used.
+ * Return a number that is higher than any attempt number of an earlier term. The attempts of a
+ * job that an earlier term may have tried are numbered above it.
  */
 uint32_t coord_attempt_floor(const struct coord *c)
 {
@@ -173,13 +183,13 @@
 	return c->term;
 }
 
-/* Return the scheduler, for tests. */
+/* Return the scheduler; not called anywhere. */
 struct sched *coord_sched(struct coord *c)
 {
 	return c->sched;
 }
 
-/* Whether settling is over, so that jobs are placed. */
+/* Whether the settling phase is over, so that jobs are placed; not called anywhere. */
 bool coord_settled(const struct coord *c)
 {
 	return c->settled;
@@ -201,7 +211,7 @@
 	return false;
 }
 
-/* Count the jobs that run, and those whose end has not been stored and acknowledged. */
+/* Count the dispatched jobs that have not ended, and the jobs with unsent acknowledgements. */
 size_t coord_open_jobs(const struct coord *c)
 {
 	GHashTableIter it;
@@ -229,13 +239,17 @@
 	return peer != PEER_NONE && c->ports.send(c->ports.arg, peer, m);
 }
 
-/* Append a line to the audit log of job changes, which drops its oldest when full. */
-void coord_audit(struct coord *c, int64_t now, const char *what, const char *who,
-	const char *job, const char *detail)
+/*
+ * Append a line to the audit log, which drops its oldest when full. event is its name, for
+ * example "job.cancel"; actor is an organisation or "operator"; subject is the id of the job or
+ * the name of the worker that the event is about.
+ */
+void coord_audit(struct coord *c, int64_t now, const char *event, const char *actor,
+	const char *subject, const char *detail)
 {
 	AUTOFREE char *when = clock_format_wall(coord_wall(c, now));
-	json_t *o = json_pack("{s:s,s:s,s:s,s:s,s:s,s:s,s:I}", "what", what, "when", when,
-		"who", who, "job", job, "detail", detail, "cell", c->cell, "term",
+	json_t *o = json_pack("{s:s,s:s,s:s,s:s,s:s,s:s,s:I}", "what", event, "when", when,
+		"who", actor, "job", subject, "detail", detail, "cell", c->cell, "term",
 		(json_int_t)c->term);
 
 	g_queue_push_tail(&c->audit, json_dumps(o, JSON_COMPACT));
@@ -244,14 +258,14 @@
 		free(g_queue_pop_head(&c->audit));
 }
 
-/* Adopt a configuration document; one older than the current is ignored. */
-void coord_set_doc(struct coord *c, int64_t now, const struct doc *doc)
+/* Adopt a configuration; one older than the current is ignored. */
+void coord_set_doc(struct coord *c, int64_t now, const struct doc *config)
 {
-	if (doc->number < c->config_number)
+	if (config->number < c->config_number)
 		return;
-	c->config_number = doc->number;
-	c->grace = doc->grace;
-	sched_set_doc(c->sched, now, doc, c->cell);
+	c->config_number = config->number;
+	c->grace = config->grace;
+	sched_set_doc(c->sched, now, config, c->cell);
 	if (c->settled)
 		coord_schedule(c, now);
 }
@@ -310,7 +324,10 @@
 		g_hash_table_remove(c->entries, &peer);
 }
 
-/* Send the load and the free capacity of the cell to all entries. */
+/*
+ * Send the load and the free capacity of the cell to all entries. The running jobs of the
+ * summary and the placed jobs of the metric are the same number, see cell_json.
+ */
 static void send_summary(struct coord *c, int64_t now)
 {
 	struct sched_free_view v;
@@ -425,7 +442,7 @@
 	return c->settled && g_strcmp0(roster, c->saved_roster_text) != 0;
 }
 
-/* Record that a roster was stored; workers of its agents may now get any job. */
+/* Handle that a roster was stored; workers of its agents may now get any job. */
 void coord_roster_saved(struct coord *c, const char *roster)
 {
 	GHashTableIter it;
@@ -446,7 +463,7 @@
 	}
 }
 
-/* Record whether the store can be reached; durable jobs are refused while it cannot. */
+/* Set whether the store can be reached; durable jobs are refused while it cannot. */
 void coord_set_store_up(struct coord *c, int64_t now, bool up)
 {
 	(void)now;
