--- a/packages/coordination/coord-job.c
+++ b/packages/coordination/coord-job.c
@@ -71,8 +71,8 @@
 
 /*
  * Whether a job has ended and its result may be sent. That a durable job was not run may be
- * reported only once its record says so: the next coordinator would run a job whose record is
- * still open.
+ * reported only once its record says so: the next coordinator would run a job whose record has
+ * no result.
  */
 bool job_result_sendable(const struct coord_job *j)
 {
@@ -123,7 +123,11 @@
 	g_array_append_val(j->waiters, peer);
 }
 
-/* Handle the submission of a job that is already known. */
+/*
+ * Answer the submission of a job that is already known: with a refusal if it is a different
+ * request, with the result, or that the job was accepted. Without a result, the entry is added
+ * to those that wait for it, if it asks for that or the job has ended.
+ */
 static void answer_repeated_submission(
 	struct coord *c, peer_id peer, struct coord_job *j, const struct msg_submit *m)
 {
@@ -145,8 +149,8 @@
 }
 
 /*
- * Return a job that no agent was told of to an entry, which submits it to the next coordinator
- * as a new one.
+ * Give a job back to its entry, which submits it to the next coordinator as a new one. No agent
+ * may know of the job.
  */
 static void send_returned(struct coord *c, const char *id, peer_id peer)
 {
@@ -307,8 +311,9 @@
 }
 
 /*
- * Drop ended jobs that are too old, too many or too large in sum. The record of a durable job
- * is deleted first. The work of one call is bounded.
+ * Drop ended jobs that are too old, too many or too large in sum. A durable job is only marked
+ * for the removal of its record, and is dropped by a later call once the removal has been
+ * written. The work of one call is bounded.
  */
 void job_expire(struct coord *c, int64_t now)
 {
@@ -402,7 +407,7 @@
 	g_array_set_size(j->acks, 0);
 }
 
-/* Handle that the record of a job was stored as it was at a version. */
+/* Handle a completed write of version of a job's record; newer changes keep the job dirty. */
 static void record_written(struct coord *c, int64_t now, struct coord_job *j, uint64_t version)
 {
 	j->written_version = version;
@@ -424,7 +429,7 @@
 	}
 }
 
-/* Handle the end of a batch; jobs of one that was not written stay dirty. */
+/* Handle that the write of a batch has succeeded, or failed: then its jobs stay dirty. */
 void coord_batch_done(struct coord *c, int64_t now, const struct coord_batch *b, bool written)
 {
 	for (size_t i = 0; i < b->len; i++) {
