--- a/packages/coordination/coord-agent.c
+++ b/packages/coordination/coord-agent.c
@@ -85,7 +85,7 @@
 	coord_send(c, a->peer, &m);
 }
 
-/* Handle the first message of an agent on a connection; it may be new or restarted. */
+/* Handle the first message on a connection of an agent, which may be new or have restarted. */
 void agent_hello(struct coord *c, int64_t now, peer_id peer, const struct msg_hello *h)
 {
 	struct coord_agent *a;
@@ -182,8 +182,10 @@
 		return;
 	}
 	if (other != NULL) {
-		log_info("coord", "Worker %s has returned with agent %s.", a->report.worker,
-			a->name);
+		log_info("coord",
+			"Agent %s now reports worker %s; agent %s, which had reported it, is "
+			"disconnected and was declared dead.",
+			a->name, a->report.worker, other->name);
 		handle_agent_death(c, now, other);
 		other->dead = true;
 		other->has_worker = false;
@@ -193,8 +195,8 @@
 }
 
 /*
- * Handle the inventory of an agent: the members that it really has, sent after it adopted the
- * coordinator's term.
+ * Handle the inventory of an agent, sent after it adopted the coordinator's term: all members
+ * that it keeps, whether reserved, running, stopping or ended.
  */
 static void on_inventory(
 	struct coord *c, int64_t now, struct coord_agent *a, const struct msg_inventory *inv)
