--- a/packages/coordination/coord-query.c
+++ b/packages/coordination/coord-query.c
@@ -6,7 +6,7 @@
 
 #define LISTED_JOBS_MAX 1000
 
-/* Return the name of the state of a job that has not been reported as ended. */
+/* Return the name of the state of a job whose result may not be sent (job_result_sendable). */
 static const char *job_state_name(struct coord *c, const struct coord_job *j)
 {
 	const struct sched_job *s = j->in_sched ? sched_job(c->sched, j->ref) : NULL;
@@ -75,7 +75,11 @@
 	return out;
 }
 
-/* Return the guaranteed, used, borrowed and lent accelerators of each organisation. */
+/*
+ * Return the guaranteed, used, borrowed and lent accelerators of each organisation, and the
+ * number of its queued jobs. impossible counts the guaranteed accelerators that could not be
+ * placed on any worker, and reclaimable_within_ms is the time that a borrower gets to stop.
+ */
 static json_t *orgs_json(struct coord *c)
 {
 	json_t *out = json_array();
@@ -108,7 +112,10 @@
 	return v->draining ? "draining" : "up";
 }
 
-/* Return the workers with their capacity and use. */
+/*
+ * Return the workers with their capacity and use. promised counts the guaranteed accelerators
+ * on the worker that are not used.
+ */
 static json_t *workers_json(struct coord *c, int64_t now)
 {
 	json_t *out = json_array();
@@ -131,7 +138,10 @@
 	return out;
 }
 
-/* Return the state of the cell. */
+/*
+ * Return the state of the cell. placed is sched_running_count, which includes jobs that are
+ * still placing and jobs that are stopping.
+ */
 static json_t *cell_json(struct coord *c, int64_t now)
 {
 	struct sched_free_view v;
@@ -149,7 +159,7 @@
 		"oldest_ms", (json_int_t)(v.oldest / NSEC_PER_MSEC));
 }
 
-/* Return the latest audit records, oldest first. */
+/* Return the lines of the audit log, oldest first. */
 static json_t *audit_json(struct coord *c)
 {
 	json_t *out = json_array();
