--- a/packages/coordination/agent-core.h
+++ b/packages/coordination/agent-core.h
@@ -11,7 +11,8 @@
 
 /* A reservation that is not started within this time ends. */
 #define AGENT_RESERVE_LEASE_NS (10 * NSEC_PER_SEC)
-#define AGENT_GANG_BEAT_NS     NSEC_PER_SEC
+/* Unused: heartbeats of gang members are sent at each agent_core_tick. */
+#define AGENT_GANG_BEAT_NS NSEC_PER_SEC
 /* A gang member that hears no heartbeat for this long stops. */
 #define AGENT_GANG_LEASE_NS (5 * NSEC_PER_SEC)
 /* How long a member is kept after its end was acknowledged. */
@@ -31,7 +32,7 @@
 	uint32_t connections;
 	uint32_t cores;
 	uint32_t memory_mb;
-	uint32_t usage_percent;
+	uint32_t usage_percent; /* only passed on to the coordinator */
 };
 
 /* A member of a job that is reserved, running, stopping or ended on this worker. */
@@ -43,7 +44,7 @@
 	int64_t stop_deadline;	 /* when the task is stopped again, with STOP_NOW */
 	bool acked;		 /* the coordinator has acknowledged the end */
 	bool stop_sent;		 /* the task was asked to stop, not just to checkpoint */
-	bool never_started;	 /* ended while still reserved */
+	bool never_started;	 /* stopped while reserved (not if that expired); never read */
 	int64_t gang_last_heard; /* last reply of member 0 */
 	int64_t *gang_last_seen; /* member 0 only: last heartbeat of each, INT64_MAX if done */
 	struct bytes checkpoint;
@@ -74,8 +75,10 @@
 void agent_core_drain(struct agent_core *a);
 void agent_core_report(struct agent_core *a, int64_t now);
 void agent_core_message(struct agent_core *a, int64_t now, const struct msg *m);
+/* Handles the heartbeat of another member, and answers it to the address reply_to. */
 void agent_core_gang_beat(
 	struct agent_core *a, int64_t now, const struct msg_gang_beat *m, const char *reply_to);
+/* Handles the answer of member 0 to a heartbeat that a member here has sent. */
 void agent_core_gang_beat_reply(
 	struct agent_core *a, int64_t now, const struct msg_gang_beat *m);
 void agent_core_task_ended(struct agent_core *a, int64_t now, const char *job, uint32_t attempt,
