--- a/packages/coordination/agent-core.c
+++ b/packages/coordination/agent-core.c
@@ -18,8 +18,9 @@
 
 /*
  * An attempt is voided when it must never start here; late or repeated messages are checked
- * against voided_attempts. The table holds at most VOIDED_JOBS_MAX jobs: an entry that is
- * dropped is old enough that its term or reservation has ended.
+ * against voided_attempts. When the table has more than VOIDED_JOBS_MAX jobs, the oldest are
+ * dropped. Their age is not checked: it is assumed that no message about such an attempt can
+ * still arrive, because its term is over or its reservation has expired.
  */
 struct agent_core {
 	struct agent_ports ports;
@@ -227,7 +228,8 @@
 
 /*
  * Handle an announcement of the upstream or its renewal. It is reported to the coordinator if
- * the capacity or the worker changed, or if the last report was not serving.
+ * the capacity or the worker changed, or if the last report said that no new members are
+ * accepted.
  */
 void agent_core_upstream_announced(
 	struct agent_core *a, int64_t now, const struct agent_upstream *u)
@@ -538,7 +540,10 @@
 	end_member(a, now, m, end);
 }
 
-/* Store the checkpoint of a member that is being stopped, then stop its task. */
+/*
+ * Keep the checkpoint of a member that is being stopped in memory, to be sent with its end, and
+ * stop its task.
+ */
 void agent_core_checkpointed(struct agent_core *a, int64_t now, const char *job,
 	uint32_t attempt, const struct bytes *state)
 {
@@ -673,8 +678,9 @@
 }
 
 /*
- * Check all timeouts; called about once a second. The time for which ended members are kept
- * does not run while the coordinator is disconnected.
+ * Check all timeouts and send the heartbeats of gang members; the daemon calls this about twice
+ * a second (AGENT_TICK_PERIOD_NS). The time for which ended members are kept does not run while
+ * the coordinator is disconnected.
  */
 void agent_core_tick(struct agent_core *a, int64_t now)
 {
