--- a/packages/coordination/coord-job.c
+++ b/packages/coordination/coord-job.c
@@ -63,16 +63,16 @@
 	j->in_sched = true;
 	j->ref = sched_submit(c->sched, now, &j->spec, j);
 	s = sched_job(c->sched, j->ref);
-	if (j->record_attempt == 0)
+	if (j->last_attempt == 0)
 		return;
-	s->attempt = MAX(j->record_attempt, coord_attempt_floor(c));
+	s->attempt = MAX(j->last_attempt, coord_attempt_floor(c));
 	s->ran = j->spec.idempotent;
 }
 
 /*
  * Whether a job has ended and its result may be sent. That a durable job was not run may be
- * reported only once its record says so: the next coordinator would run a job whose record is
- * still open.
+ * reported only once its record says so: the next coordinator would run a job whose record has
+ * no result.
  */
 bool job_result_sendable(const struct coord_job *j)
 {
@@ -123,8 +123,12 @@
 	g_array_append_val(j->waiters, peer);
 }
 
-/* Handle the submission of a job that is already known. */
-static void resubmit_known_job(
+/*
+ * Answer the submission of a job that is already known: with a refusal if it is a different
+ * request, with the result, or that the job was accepted. Without a result, the entry is added
+ * to those that wait for it, if it asks for that or the job has ended.
+ */
+static void answer_repeated_submission(
 	struct coord *c, peer_id peer, struct coord_job *j, const struct msg_submit *m)
 {
 	counter_add(&jobs_repeated, 1);
@@ -145,8 +149,8 @@
 }
 
 /*
- * Return a job that no agent was told of to an entry, which submits it to the next coordinator
- * as a new one.
+ * Give a job back to its entry, which submits it to the next coordinator as a new one. No agent
+ * may know of the job.
  */
 static void send_returned(struct coord *c, const char *id, peer_id peer)
 {
@@ -193,7 +197,7 @@
 	if (m->spec.id == NULL || m->spec.org == NULL)
 		return;
 	if (j != NULL) {
-		resubmit_known_job(c, peer, j, m);
+		answer_repeated_submission(c, peer, j, m);
 		return;
 	}
 	if (c->handing_over && !m->resubmitted) {
@@ -209,7 +213,7 @@
 	counter_add(&jobs_submitted, 1);
 	j = job_add(c, now, &m->spec);
 	if (m->resubmitted)
-		j->record_attempt = coord_attempt_floor(c);
+		j->last_attempt = coord_attempt_floor(c);
 	if (m->wait)
 		add_waiter(j, peer);
 	if (m->resubmitted && !m->spec.idempotent && m->last_term < c->term &&
@@ -307,8 +311,9 @@
 }
 
 /*
- * Drop ended jobs that are too old, too many or too large in sum. The record of a durable job
- * is deleted first. The work of one call is bounded.
+ * Drop ended jobs that are too old, too many or too large in sum. A durable job is only marked
+ * for the removal of its record, and is dropped by a later call once the removal has been
+ * written. The work of one call is bounded.
  */
 void job_expire(struct coord *c, int64_t now)
 {
@@ -357,7 +362,7 @@
 			continue;
 		fields_copy(&job_spec_fields, &w.record.spec, &j->spec);
 		fields_copy(&job_result_fields, &w.record.result, &j->result);
-		w.record.attempt = j->record_attempt;
+		w.record.attempt = j->last_attempt;
 		w.record.placed = xstrdup(j->placed);
 		w.record.ended_wall_ms = j->ended_wall / NSEC_PER_MSEC;
 		g_array_append_val(writes, w);
@@ -402,7 +407,7 @@
 	g_array_set_size(j->acks, 0);
 }
 
-/* Handle that the record of a job was stored as it was at a version. */
+/* Handle a completed write of version of a job's record; newer changes keep the job dirty. */
 static void record_written(struct coord *c, int64_t now, struct coord_job *j, uint64_t version)
 {
 	j->written_version = version;
@@ -424,7 +429,7 @@
 	}
 }
 
-/* Handle the end of a batch; jobs of one that was not written stay dirty. */
+/* Handle that the write of a batch has succeeded, or failed: then its jobs stay dirty. */
 void coord_batch_done(struct coord *c, int64_t now, const struct coord_batch *b, bool written)
 {
 	for (size_t i = 0; i < b->len; i++) {
--- a/packages/coordination/coord-settle.c
+++ b/packages/coordination/coord-settle.c
@@ -7,8 +7,11 @@
 /*
  * Recovery after a takeover. A new coordinator rebuilds its state from two sources: the agents,
  * which know what runs and what ended, and the store, which has the durable jobs. An agent that
- * has adopted our term refuses the messages of older ones, so its inventory is final: what it
- * does not list can no longer start there.
+ * has adopted the new coordinator's term refuses the messages of older ones, so its inventory
+ * is final: what it does not list can no longer start there.
+ *
+ * A group is the listed members of the newest attempt of one job. It is complete if it has all
+ * members of that attempt; the group of a job with one member is always complete.
  */
 
 /* Whether an agent that may have been told to start a job has died since its submission. */
@@ -43,9 +46,10 @@
 
 /*
  * Whether the agents on which a job was placed ("NAME/INCARNATION,...") have all sent an
- * inventory and have not restarted, so that their not listing the job proves it is not there.
+ * inventory and have not restarted. The inventories are not searched for the job: the listed
+ * members have been settled before, so a job that is still uncertain has not started there.
  */
-static bool absent_where_placed(struct coord *c, const char *placed)
+static bool all_placed_agents_present(struct coord *c, const char *placed)
 {
 	g_auto(GStrv) parts = g_strsplit(placed != NULL ? placed : "", ",", -1);
 
@@ -72,7 +76,7 @@
 		.end = r->end,
 		.result = r->result};
 
-	run_record_end(c, now, a, &m);
+	run_end_member(c, now, a, &m);
 }
 
 /* Match a listed member to its job, and stop it if it is not of the current attempt. */
@@ -93,56 +97,61 @@
 	run_reserved(c, now, a, &ok);
 }
 
-void reported_member_free(void *p)
+void listed_member_free(void *p)
 {
-	struct reported_member *rm = p;
+	struct listed_member *lm = p;
 
-	fields_clear(&member_record_fields, &rm->record);
-	free(rm);
+	fields_clear(&member_record_fields, &lm->record);
+	free(lm);
 }
 
 /* Keep a listed member until its job is settled. */
-static void keep_reported_member(
+static void keep_listed_member(
 	struct coord *c, struct coord_agent *a, const struct member_record *r)
 {
-	struct reported_member *rm = xcalloc(1, sizeof(*rm));
+	struct listed_member *lm = xcalloc(1, sizeof(*lm));
 
-	rm->agent = a;
-	fields_copy(&member_record_fields, &rm->record, r);
-	g_ptr_array_add(c->reported_members, rm);
+	lm->agent = a;
+	fields_copy(&member_record_fields, &lm->record, r);
+	g_ptr_array_add(c->listed_members, lm);
 }
 
 /* Drop the listed members of an agent that died, restarted or sends a new inventory. */
 void settle_drop_inventory(struct coord *c, const struct coord_agent *a)
 {
-	for (guint i = c->reported_members->len; i-- > 0;) {
-		if (((struct reported_member *)c->reported_members->pdata[i])->agent == a)
-			g_ptr_array_remove_index(c->reported_members, i);
+	for (guint i = c->listed_members->len; i-- > 0;) {
+		if (((struct listed_member *)c->listed_members->pdata[i])->agent == a)
+			g_ptr_array_remove_index(c->listed_members, i);
 	}
 }
 
 /*
- * Record the end of a listed member whose job has not been settled yet; settling the job
- * acknowledges it. False if no such member was listed.
+ * Note in the list that a listed member has ended whose job has not been settled yet; settling
+ * the job handles and acknowledges the end. False if the list does not have the member.
  */
-bool settle_record_end(struct coord *c, const struct coord_agent *a, const struct msg_ended *m)
+bool settle_update_listed_end(
+	struct coord *c, const struct coord_agent *a, const struct msg_ended *m)
 {
-	for (guint i = 0; i < c->reported_members->len; i++) {
-		struct reported_member *rm = c->reported_members->pdata[i];
+	for (guint i = 0; i < c->listed_members->len; i++) {
+		struct listed_member *lm = c->listed_members->pdata[i];
 
-		if (rm->agent != a || strcmp(rm->record.spec.id, m->job) != 0 ||
-			rm->record.attempt != m->attempt || rm->record.member != m->member)
+		if (lm->agent != a || strcmp(lm->record.spec.id, m->job) != 0 ||
+			lm->record.attempt != m->attempt || lm->record.member != m->member)
 			continue;
-		rm->record.state = MEMBER_ENDED;
-		rm->record.end = m->end;
-		fields_clear(&job_result_fields, &rm->record.result);
-		fields_copy(&job_result_fields, &rm->record.result, &m->result);
+		lm->record.state = MEMBER_ENDED;
+		lm->record.end = m->end;
+		fields_clear(&job_result_fields, &lm->record.result);
+		fields_copy(&job_result_fields, &lm->record.result, &m->result);
 		return true;
 	}
 	return false;
 }
 
-/* Handle an agent's inventory. */
+/*
+ * Handle an agent's inventory: match the members of jobs that are in the scheduler or have
+ * ended, and keep the others until their jobs are settled. The time of the last tick, at most
+ * one tick ago, is used as the current time.
+ */
 void settle_handle_inventory(
 	struct coord *c, struct coord_agent *a, const struct msg_inventory *inv)
 {
@@ -154,33 +163,33 @@
 		if (r->spec.id == NULL || r->spec.org == NULL)
 			continue;
 		if (j != NULL && (j->in_sched || j->ended))
-			reconcile_member(c, c->wall_sampled_at, a, j, r);
+			reconcile_member(c, c->latest_tick, a, j, r);
 		else
-			keep_reported_member(c, a, r);
+			keep_listed_member(c, a, r);
 	}
 }
 
 /* Return the listed members of a job's newest attempt, and stop those of older ones. */
-static GPtrArray *newest_attempt_of(struct coord *c, const char *id)
+static GPtrArray *select_newest_attempt(struct coord *c, const char *id)
 {
 	GPtrArray *group = g_ptr_array_new();
 	uint32_t newest = 0;
 
-	for (guint i = 0; i < c->reported_members->len; i++) {
-		struct reported_member *rm = c->reported_members->pdata[i];
+	for (guint i = 0; i < c->listed_members->len; i++) {
+		struct listed_member *lm = c->listed_members->pdata[i];
 
-		if (strcmp(rm->record.spec.id, id) == 0)
-			newest = MAX(newest, rm->record.attempt);
+		if (strcmp(lm->record.spec.id, id) == 0)
+			newest = MAX(newest, lm->record.attempt);
 	}
-	for (guint i = 0; i < c->reported_members->len; i++) {
-		struct reported_member *rm = c->reported_members->pdata[i];
+	for (guint i = 0; i < c->listed_members->len; i++) {
+		struct listed_member *lm = c->listed_members->pdata[i];
 
-		if (strcmp(rm->record.spec.id, id) != 0)
+		if (strcmp(lm->record.spec.id, id) != 0)
 			continue;
-		if (rm->record.attempt == newest)
-			g_ptr_array_add(group, rm);
-		else if (rm->record.state != MEMBER_ENDED)
-			run_send_stop(c, rm->agent->peer, id, rm->record.attempt, STOP_NOW);
+		if (lm->record.attempt == newest)
+			g_ptr_array_add(group, lm);
+		else if (lm->record.state != MEMBER_ENDED)
+			run_send_stop(c, lm->agent->peer, id, lm->record.attempt, STOP_NOW);
 	}
 	return group;
 }
@@ -189,11 +198,11 @@
 static bool none_started(const GPtrArray *group)
 {
 	for (guint i = 0; i < group->len; i++) {
-		const struct reported_member *rm = group->pdata[i];
-		bool never = rm->record.state == MEMBER_ENDED &&
-			     rm->record.end == MEMBER_END_NEVER_STARTED;
+		const struct listed_member *lm = group->pdata[i];
+		bool never = lm->record.state == MEMBER_ENDED &&
+			     lm->record.end == MEMBER_END_NEVER_STARTED;
 
-		if (rm->record.state != MEMBER_RESERVED && !never)
+		if (lm->record.state != MEMBER_RESERVED && !never)
 			return false;
 	}
 	return true;
@@ -202,27 +211,30 @@
 /* Whether all members of an attempt were listed; one that was not may have started. */
 static bool is_complete(const GPtrArray *group)
 {
-	return group->len == ((struct reported_member *)group->pdata[0])->record.size;
+	return group->len == ((struct listed_member *)group->pdata[0])->record.size;
 }
 
-/* Handle the members of a group that were listed as ended. */
+/* Handle the members of a group that were listed as ended, and acknowledge their ends. */
 static void replay_group_ends(struct coord *c, int64_t now, const GPtrArray *group)
 {
 	for (guint i = 0; i < group->len; i++) {
-		struct reported_member *rm = group->pdata[i];
+		struct listed_member *lm = group->pdata[i];
 
-		if (rm->record.state == MEMBER_ENDED)
-			replay_member_end(c, now, rm->agent, &rm->record);
+		if (lm->record.state == MEMBER_ENDED)
+			replay_member_end(c, now, lm->agent, &lm->record);
 	}
 }
 
-/* Release the reservations of a group. */
-static void release_group(struct coord *c, const GPtrArray *group)
+/*
+ * Tell the agents to release the members of a group. A reserved member ends as never started,
+ * and the task of a running one is stopped as with STOP_NOW.
+ */
+static void stop_group(struct coord *c, const GPtrArray *group)
 {
 	for (guint i = 0; i < group->len; i++) {
-		const struct reported_member *rm = group->pdata[i];
+		const struct listed_member *lm = group->pdata[i];
 
-		run_send_stop(c, rm->agent->peer, rm->record.spec.id, rm->record.attempt,
+		run_send_stop(c, lm->agent->peer, lm->record.spec.id, lm->record.attempt,
 			STOP_RELEASE);
 	}
 }
@@ -231,12 +243,12 @@
 static void resume_gang_start(struct coord *c, struct coord_job *j, const GPtrArray *group)
 {
 	for (guint i = 0; i < group->len; i++) {
-		const struct reported_member *rm = group->pdata[i];
+		const struct listed_member *lm = group->pdata[i];
 		struct msg m = {.kind = MSG_START,
 			.start = {.term = c->term, .job = j->spec.id, .attempt = j->attempt}};
 
-		if (rm->record.state == MEMBER_RESERVED)
-			coord_send(c, rm->agent->peer, &m);
+		if (lm->record.state == MEMBER_RESERVED)
+			coord_send(c, lm->agent->peer, &m);
 	}
 }
 
@@ -244,26 +256,26 @@
 static void adopt_job(struct coord *c, int64_t now, struct coord_job *j, GPtrArray *group)
 {
 	struct sched_member members[SCHED_MEMBERS_MAX] = {0};
-	const struct reported_member *first = group->pdata[0];
+	const struct listed_member *first = group->pdata[0];
 	uint32_t len = MIN(group->len, (guint)SCHED_MEMBERS_MAX);
 	bool complete = is_complete(group);
 	int64_t running = 0;
 
 	for (uint32_t i = 0; i < len; i++) {
-		const struct reported_member *rm = group->pdata[i];
+		const struct listed_member *lm = group->pdata[i];
 
-		members[i].worker = rm->agent->worker;
-		members[i].accelerators = rm->record.accelerators;
-		running = MAX(running, rm->record.running_ms * NSEC_PER_MSEC);
-		j->members[i] = (struct coord_member){.agent = rm->agent,
-			.incarnation = rm->agent->incarnation,
+		members[i].worker = lm->agent->worker;
+		members[i].accelerators = lm->record.accelerators;
+		running = MAX(running, lm->record.running_ms * NSEC_PER_MSEC);
+		j->members[i] = (struct coord_member){.agent = lm->agent,
+			.incarnation = lm->agent->incarnation,
 			.sent = true,
 			.reserved = true,
 			.start_sent = true};
 	}
 	j->size = len;
 	j->attempt = first->record.attempt;
-	j->record_attempt = j->attempt;
+	j->last_attempt = j->attempt;
 	j->dispatched = true;
 	j->started = true;
 	j->in_sched = true;
@@ -282,13 +294,17 @@
 static bool all_have_workers(const GPtrArray *group)
 {
 	for (guint i = 0; i < group->len; i++) {
-		if (!((struct reported_member *)group->pdata[i])->agent->has_worker)
+		if (!((struct listed_member *)group->pdata[i])->agent->has_worker)
 			return false;
 	}
 	return true;
 }
 
-/* Whether a job is durable, in the scheduler, ended or waited for by an entry. */
+/*
+ * Whether the members of a job must not be discarded, because its result may still be asked
+ * for: a durable job even if no entry waits for it, other jobs only if they are in the
+ * scheduler, have ended, or have an entry that waits.
+ */
 static bool is_wanted(struct coord *c, const struct job_spec *spec)
 {
 	const struct coord_job *j = job_find(c, spec->id);
@@ -300,20 +316,21 @@
 static bool all_ended(const GPtrArray *group)
 {
 	for (guint i = 0; i < group->len; i++) {
-		if (((struct reported_member *)group->pdata[i])->record.state != MEMBER_ENDED)
+		if (((struct listed_member *)group->pdata[i])->record.state != MEMBER_ENDED)
 			return false;
 	}
 	return true;
 }
 
 /*
- * Whether a group belongs to a job that no entry waits for, because the previous coordinator
- * has answered: one that never started and may have been cancelled, or an idempotent one of
- * which only some members are listed, all ended. An entry that still wants it resubmits it.
+ * Whether a group can be discarded: the job is not wanted, and either none of its listed
+ * members was started, or it is idempotent, the group is incomplete and all its members have
+ * ended. It is taken for the rest of a job that the previous coordinator has answered, for
+ * example as cancelled. An entry that still needs the result submits the job again.
  */
 static bool is_abandoned(struct coord *c, const GPtrArray *group)
 {
-	const struct job_spec *spec = &((struct reported_member *)group->pdata[0])->record.spec;
+	const struct job_spec *spec = &((struct listed_member *)group->pdata[0])->record.spec;
 
 	if (is_wanted(c, spec))
 		return false;
@@ -321,17 +338,26 @@
 	       (spec->idempotent && !is_complete(group) && all_ended(group));
 }
 
-/* Acknowledge the ends of a group and release its reservations. */
+/* Stop the members of a group, and acknowledge the ends of those that have ended. */
 static void discard_group(struct coord *c, int64_t now, const GPtrArray *group)
 {
-	release_group(c, group);
+	stop_group(c, group);
 	replay_group_ends(c, now, group);
 }
 
-/* Decide what becomes of a listed job. */
+/*
+ * Settle the job of a group:
+ * - a group that can be discarded is discarded;
+ * - the group of a job that is in the scheduler or has ended is matched to it;
+ * - if no member has started, the reservations are released, and the job is submitted to the
+ *   scheduler; but if it is not idempotent and the group is incomplete, an unlisted member may
+ *   have started, and settle_uncertain_jobs decides;
+ * - a job that has started is adopted, if the scheduler knows the workers of all members;
+ * - otherwise the members are stopped.
+ */
 static void settle_group(struct coord *c, int64_t now, GPtrArray *group)
 {
-	struct reported_member *first = group->pdata[0];
+	struct listed_member *first = group->pdata[0];
 	struct coord_job *j = job_find(c, first->record.spec.id);
 
 	if (is_abandoned(c, group)) {
@@ -340,40 +366,40 @@
 	}
 	if (j == NULL)
 		j = job_add(c, now, &first->record.spec);
-	j->record_attempt = MAX(j->record_attempt, first->record.attempt);
+	j->last_attempt = MAX(j->last_attempt, first->record.attempt);
 	if (j->in_sched || j->ended) {
 		for (guint i = 0; i < group->len; i++) {
-			struct reported_member *rm = group->pdata[i];
+			struct listed_member *lm = group->pdata[i];
 
-			reconcile_member(c, now, rm->agent, j, &rm->record);
+			reconcile_member(c, now, lm->agent, j, &lm->record);
 		}
 	} else if (none_started(group)) {
-		release_group(c, group);
+		stop_group(c, group);
 		j->may_have_started = !is_complete(group) && !j->spec.idempotent;
 		if (!j->may_have_started)
 			job_submit_to_sched(c, now, j);
 	} else if (all_have_workers(group)) {
 		adopt_job(c, now, j, group);
 	} else {
-		release_group(c, group);
+		stop_group(c, group);
 	}
 }
 
-/* Settle all listed members, job by job. */
+/* Settle the jobs of all listed members. */
 static void settle_groups(struct coord *c, int64_t now)
 {
-	while (c->reported_members->len > 0) {
-		struct reported_member *first = c->reported_members->pdata[0];
+	while (c->listed_members->len > 0) {
+		struct listed_member *first = c->listed_members->pdata[0];
 		AUTOFREE char *id = xstrdup(first->record.spec.id);
-		GPtrArray *group = newest_attempt_of(c, id);
+		GPtrArray *group = select_newest_attempt(c, id);
 
 		settle_group(c, now, group);
 		g_ptr_array_unref(group);
-		for (guint i = c->reported_members->len; i-- > 0;) {
-			const struct reported_member *rm = c->reported_members->pdata[i];
+		for (guint i = c->listed_members->len; i-- > 0;) {
+			const struct listed_member *lm = c->listed_members->pdata[i];
 
-			if (strcmp(rm->record.spec.id, id) == 0)
-				g_ptr_array_remove_index(c->reported_members, i);
+			if (strcmp(lm->record.spec.id, id) == 0)
+				g_ptr_array_remove_index(c->listed_members, i);
 		}
 	}
 }
@@ -385,7 +411,7 @@
 		const struct job_record *r = records->pdata[i];
 		struct coord_job *j = job_add(c, now, &r->spec);
 
-		j->record_attempt = r->attempt;
+		j->last_attempt = r->attempt;
 		j->placed = xstrdup(r->placed);
 		if (r->result.outcome == OUTCOME_NONE) {
 			j->may_have_started = true;
@@ -402,17 +428,18 @@
 	if (j->spec.idempotent)
 		return true;
 	if (j->spec.durable)
-		return j->record_attempt == 0 || absent_where_placed(c, j->placed);
+		return j->last_attempt == 0 || all_placed_agents_present(c, j->placed);
 	return settle_all_agents_present(c, &j->spec);
 }
 
 /*
- * Run the jobs that an earlier term may have started where that is safe, and end the others as
- * unknown after COORD_UNKNOWN_OUTCOME_TIMEOUT_NS.
+ * Run the jobs that an earlier term may have started where that is safe. The others end as
+ * unknown once the term is older than COORD_UNKNOWN_OUTCOME_TIMEOUT_NS and this coordinator has
+ * had the job for COORD_SETTLE_TIMEOUT_NS.
  */
 static void settle_uncertain_jobs(struct coord *c, int64_t now)
 {
-	g_autoptr(GPtrArray) open = g_ptr_array_new();
+	g_autoptr(GPtrArray) uncertain_jobs = g_ptr_array_new();
 	bool late = now - c->term_started_at > COORD_UNKNOWN_OUTCOME_TIMEOUT_NS;
 	GHashTableIter it;
 	gpointer value;
@@ -420,17 +447,17 @@
 	g_hash_table_iter_init(&it, c->jobs);
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
 		if (((struct coord_job *)value)->may_have_started)
-			g_ptr_array_add(open, value);
+			g_ptr_array_add(uncertain_jobs, value);
 	}
-	for (guint i = 0; i < open->len; i++) {
-		struct coord_job *j = open->pdata[i];
+	for (guint i = 0; i < uncertain_jobs->len; i++) {
+		struct coord_job *j = uncertain_jobs->pdata[i];
 		struct job_result lost = {.outcome = OUTCOME_UNKNOWN,
 			.error = ERR_UNKNOWN_OUTCOME,
 			.detail = "a worker that may have run the job is gone"};
 
 		if (is_safe_to_run(c, j)) {
 			j->may_have_started = false;
-			j->record_attempt = MAX(j->record_attempt, coord_attempt_floor(c));
+			j->last_attempt = MAX(j->last_attempt, coord_attempt_floor(c));
 			job_submit_to_sched(c, now, j);
 		} else if (late && now - j->submitted_at > COORD_SETTLE_TIMEOUT_NS) {
 			job_end(c, now, j, &lost);
@@ -455,8 +482,9 @@
 }
 
 /*
- * Finish settling once all agents of the previous roster have sent their inventory, or after
- * COORD_SETTLE_TIMEOUT_NS. After that, settle what was listed later.
+ * Finish the settling phase once all agents of the previous roster have sent their inventory,
+ * or after COORD_SETTLE_TIMEOUT_NS. After that, settle at each call the jobs of members that
+ * were listed since, and those that are still uncertain.
  */
 void settle_advance(struct coord *c, int64_t now)
 {
