--- a/tests/scenario/audit.c
+++ b/tests/scenario/audit.c
@@ -73,11 +73,11 @@
 /* The runs that were open when an upstream was killed for the n-th time end with that. */
 static void end_killed(GPtrArray *runs, guint first, const struct proc *p, guint n)
 {
-	for (guint q = first; n < p->kills->len && q < runs->len; q++) {
+	for (guint q = first; n < p->kill_times->len && q < runs->len; q++) {
 		struct run *r = runs->pdata[q];
 
 		if (r->ended == 0)
-			r->ended = g_array_index(p->kills, int64_t, n);
+			r->ended = g_array_index(p->kill_times, int64_t, n);
 	}
 }
 
@@ -121,7 +121,7 @@
 }
 
 /* How often a job was begun. */
-uint32_t audit_begun(struct scenario *s, const struct job *j)
+uint32_t audit_count_starts(struct scenario *s, const struct job *j)
 {
 	GPtrArray *runs = read_runs(s);
 	uint32_t n = begun(runs, j);
@@ -156,7 +156,7 @@
 }
 
 /* Count what must not be. */
-void audit_runs(struct scenario *s)
+void audit_check_runs(struct scenario *s)
 {
 	GPtrArray *runs = read_runs(s);
 
--- a/tests/scenario/client.c
+++ b/tests/scenario/client.c
@@ -13,7 +13,7 @@
 	bool problem = c->type != NULL && strcmp(c->type, "application/problem+json") == 0;
 
 	j->status = c->status;
-	j->text = bytes_copy(c->answer.data, c->answer.len).data;
+	j->response = bytes_copy(c->answer.data, c->answer.len).data;
 	if (problem) {
 		const char *outcome = json_string_value(json_object_get(o, "outcome"));
 		const char *kind = json_string_value(json_object_get(o, "kind"));
@@ -69,7 +69,7 @@
 	http_call_free(c);
 	free(sub->url);
 	free(sub);
-	__atomic_store_n(&j->answered, true, __ATOMIC_RELEASE);
+	__atomic_store_n(&j->call_returned, true, __ATOMIC_RELEASE);
 	return NULL;
 }
 
@@ -81,7 +81,7 @@
 	sub->s = s;
 	sub->job = j;
 	xasprintf(&sub->url, "http://%s/v1/jobs", entry_of(s, j));
-	j->started = pthread_create(&j->thread, NULL, submit_thread, sub) == 0;
+	j->thread_started = pthread_create(&j->thread, NULL, submit_thread, sub) == 0;
 }
 
 /* GET a path of an entry. */
--- a/tests/scenario/proc.c
+++ b/tests/scenario/proc.c
@@ -97,7 +97,7 @@
 
 	p->node_file = xstrdup(node_file);
 	g_strlcpy(p->name, name, sizeof(p->name));
-	p->kills = g_array_new(FALSE, TRUE, sizeof(int64_t));
+	p->kill_times = g_array_new(FALSE, TRUE, sizeof(int64_t));
 	p->argv = argv;
 	xasprintf(&p->out, "%s/%s.out", s->dir, name);
 	xasprintf(&p->log, "%s/%s.log", s->dir, name);
@@ -117,14 +117,14 @@
 /* Send a signal. */
 bool proc_signal(struct scenario *s, struct proc *p, int sig)
 {
-	s->last_fault = now_ns();
+	s->last_fault_at = now_ns();
 	if (p == NULL || p->pid <= 0)
 		return false;
 	if (sig == SIGKILL) {
 		int64_t at = now_ns();
 
 		p->killed = true;
-		g_array_append_val(p->kills, at);
+		g_array_append_val(p->kill_times, at);
 	}
 	if (sig == SIGTERM)
 		p->stopping = true;
@@ -178,7 +178,7 @@
 {
 	struct proc *p = arg;
 
-	g_array_unref(p->kills);
+	g_array_unref(p->kill_times);
 	g_strfreev(p->argv);
 	free(p->out);
 	free(p->log);
--- a/tests/scenario/runner.c
+++ b/tests/scenario/runner.c
@@ -122,7 +122,7 @@
 		s->store = proc_start(s, "store", args(prog, "127.0.0.1:0", NULL));
 		return;
 	}
-	s->last_fault = now_ns();
+	s->last_fault_at = now_ns();
 	if (strcmp(w[1], "down") == 0 || strcmp(w[1], "up") == 0)
 		body = g_strdup_printf("{\"down\":%s}", w[1][0] == 'd' ? "true" : "false");
 	else if (strcmp(w[1], "slow") == 0)
@@ -271,12 +271,12 @@
 		if (p->name[0] != 'e' || p->pid <= 0 || p->killed || p->stopping)
 			continue;
 		n = config_number(s, p->addr);
-		last = g_hash_table_lookup(s->numbers, p->name);
+		last = g_hash_table_lookup(s->config_numbers, p->name);
 		if (n > 0 && last != NULL && n < *last)
 			s->t.reverted++;
 		if (n > 0)
 			g_hash_table_replace(
-				s->numbers, g_strdup(p->name), g_memdup2(&n, sizeof(n)));
+				s->config_numbers, g_strdup(p->name), g_memdup2(&n, sizeof(n)));
 	}
 }
 
@@ -296,7 +296,7 @@
 /* Whether a job has an outcome by now. */
 static bool has_outcome(struct scenario *s, struct job *j)
 {
-	if (!__atomic_load_n(&j->answered, __ATOMIC_ACQUIRE))
+	if (!__atomic_load_n(&j->call_returned, __ATOMIC_ACQUIRE))
 		return false;
 	client_poll(s, j);
 	return j->outcome != NULL || j->cut;
@@ -317,7 +317,7 @@
 		return config_everywhere(s, atoi(w[2]));
 	if (strcmp(w[1], "running") == 0) {
 		j = find_job(s, w[2]);
-		return j != NULL && audit_begun(s, j) > 0;
+		return j != NULL && audit_count_starts(s, j) > 0;
 	}
 	if (strcmp(w[1], "jobs") == 0) {
 		for (guint i = 0; i < s->jobs->len; i++) {
@@ -435,7 +435,7 @@
 			j->outcome ? j->outcome
 			: j->cut   ? "cut"
 				   : "nowhere",
-			w[2], j->text ? j->text : "");
+			w[2], j->response ? j->response : "");
 	if (option(w, "kind") != NULL && g_strcmp0(option(w, "kind"), j->kind) != 0)
 		fail(s, "job %s has kind %s, not %s", w[1], j->kind ? j->kind : "none",
 			option(w, "kind"));
@@ -459,7 +459,7 @@
 static void do_runs(struct scenario *s, char **w)
 {
 	struct job *j = find_job(s, w[1]);
-	uint32_t n = j != NULL ? audit_begun(s, j) : 0;
+	uint32_t n = j != NULL ? audit_count_starts(s, j) : 0;
 	uint32_t min = (uint32_t)atoi(w[2]);
 	uint32_t max = strchr(w[2], '-') != NULL ? (uint32_t)atoi(strchr(w[2], '-') + 1) : min;
 
@@ -474,7 +474,7 @@
 	g_autofree char *url = NULL;
 	struct http_call *c;
 
-	while (j != NULL && !__atomic_load_n(&j->answered, __ATOMIC_ACQUIRE))
+	while (j != NULL && !__atomic_load_n(&j->call_returned, __ATOMIC_ACQUIRE))
 		usleep(5000);
 	if (j == NULL || j->id == NULL)
 		return;
@@ -570,7 +570,7 @@
 {
 	struct worker *wk = find_worker(s, w[1]);
 
-	s->last_fault = now_ns();
+	s->last_fault_at = now_ns();
 	if (wk == NULL)
 		fail(s, "there is no worker %s", w[1]);
 	else
@@ -598,9 +598,9 @@
 	}
 	if (!ok)
 		fail(s, "no probe was answered");
-	if (s->last_fault > 0)
+	if (s->last_fault_at > 0)
 		s->t.recovery_s = MAX(s->t.recovery_s,
-			(double)(now_ns() - s->last_fault) / (double)NSEC_PER_SEC);
+			(double)(now_ns() - s->last_fault_at) / (double)NSEC_PER_SEC);
 }
 
 /* race SECTIONS: that many operators edit sections of their own at once, through all entries.
@@ -777,7 +777,7 @@
 		proc_signal(s, e, SIGCONT);
 		break;
 	}
-	s->last_fault = now_ns();
+	s->last_fault_at = now_ns();
 }
 
 /* mix JOBS SECONDS: random jobs under random faults. */
@@ -842,7 +842,7 @@
 		if (p->pid > 0)
 			kill(p->pid, SIGCONT);
 	}
-	s->last_fault = now_ns();
+	s->last_fault_at = now_ns();
 }
 
 /* term NAME: begin a planned stop without waiting for its end. */
@@ -952,9 +952,9 @@
 		struct job *j = s->jobs->pdata[i];
 
 		settle_job(s, j);
-		if (j->started && __atomic_load_n(&j->answered, __ATOMIC_ACQUIRE))
+		if (j->thread_started && __atomic_load_n(&j->call_returned, __ATOMIC_ACQUIRE))
 			pthread_join(j->thread, NULL);
-		if (!__atomic_load_n(&j->answered, __ATOMIC_ACQUIRE) ||
+		if (!__atomic_load_n(&j->call_returned, __ATOMIC_ACQUIRE) ||
 			(j->outcome == NULL && !j->cut)) {
 			fprintf(stderr, "%s: job %s got no outcome (%s)\n", s->file, j->name,
 				j->id ? j->id : "no id");
@@ -968,7 +968,7 @@
 				s->t.cut++;
 		}
 	}
-	audit_runs(s);
+	audit_check_runs(s);
 }
 
 /* End all processes. */
@@ -1004,10 +1004,11 @@
 	struct scenario s = {.procs = g_ptr_array_new_with_free_func(proc_free),
 		.workers = g_ptr_array_new_with_free_func(free),
 		.jobs = g_ptr_array_new(),
-		.numbers = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free)};
+		.config_numbers =
+			g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free)};
 	uint32_t seed = argc > 3 ? (uint32_t)atoi(argv[3]) : 1;
 	g_autofree char *base = NULL;
-	struct tally *t = &s.t;
+	struct scenario_counts *t = &s.t;
 	uint32_t bad;
 
 	if (argc < 3) {
