--- a/packages/coordination/coord.c
+++ b/packages/coordination/coord.c
@@ -154,7 +154,7 @@
 	if (doc != NULL)
 		coord_set_doc(c, now, doc);
 	settle_load_records(c, now, records);
-	log_info("coord", "The term is ours; %u agents are expected. cell=%s term=%" PRIu64,
+	log_info("coord", "Started coordinating; %u agents are expected. cell=%s term=%" PRIu64,
 		g_hash_table_size(c->previous_roster), c->cell, term);
 }
 
--- a/tests/scenario/runner.c
+++ b/tests/scenario/runner.c
@@ -10,22 +10,21 @@
 #include <unistd.h>
 
 /*
- * Runs a scenario: a file of one command a line against real processes on loopback. Waiting
- * commands have a limit that only ends a hang; nothing is judged by how long it took, except
- * the bound on partial gangs, which is a promise of the product.
+ * Runs a scenario: a file with one command per line, executed against real processes on
+ * loopback. Timeouts only end a hang. No check depends on how long something took, except the
+ * bound on partially running gangs, which the product guarantees.
  */
 
-#define AWAIT_LIMIT (90 * NSEC_PER_SEC)
-#define STOP_LIMIT  (40 * NSEC_PER_SEC)
-#define MIX_PROCS   8
+#define AWAIT_TIMEOUT (90 * NSEC_PER_SEC)
+#define STOP_TIMEOUT  (40 * NSEC_PER_SEC)
 
-/* Monotonic time. */
+/* Return the monotonic time in ns. */
 int64_t now_ns(void)
 {
 	return clock_now(&clock_system);
 }
 
-/* Note a failed expectation. */
+/* Print a message with the current line and count a failure. */
 void fail(struct scenario *s, const char *fmt, ...)
 {
 	AUTOFREE char *text = NULL;
@@ -39,7 +38,10 @@
 	s->t.failed++;
 }
 
-/* The address of some entry that runs and is not stopping. */
+/*
+ * Return the address of the first entry that runs and is not stopping, or an address that
+ * refuses connections. Entries are the processes whose names start with "e".
+ */
 const char *any_entry(struct scenario *s)
 {
 	for (guint i = 0; i < s->procs->len; i++) {
@@ -51,7 +53,7 @@
 	return "127.0.0.1:1";
 }
 
-/* Find a worker. */
+/* Find a worker by name. */
 static struct worker *find_worker(struct scenario *s, const char *name)
 {
 	for (guint i = 0; i < s->workers->len; i++) {
@@ -63,7 +65,7 @@
 	return NULL;
 }
 
-/* Find a job. */
+/* Find a job by name. */
 static struct job *find_job(struct scenario *s, const char *name)
 {
 	for (guint i = 0; i < s->jobs->len; i++) {
@@ -75,8 +77,8 @@
 	return NULL;
 }
 
-/* Build an argument vector. */
-static char **args(const char *first, ...)
+/* Copy a NULL-terminated list of strings into an argument vector. */
+static char **make_argv(const char *first, ...)
 {
 	GPtrArray *a = g_ptr_array_new();
 	va_list ap;
@@ -89,8 +91,8 @@
 	return (char **)g_ptr_array_free(a, FALSE);
 }
 
-/* The value of a word NAME=VALUE; NULL where it is not there. */
-static const char *option(char **w, const char *name)
+/* Return VALUE of the word NAME=VALUE, or NULL if there is none. */
+static const char *option_value(char **w, const char *name)
 {
 	size_t len = strlen(name);
 
@@ -101,7 +103,7 @@
 	return NULL;
 }
 
-/* Whether a word stands alone in the command. */
+/* Whether the command has this word as an argument. */
 static bool has_word(char **w, const char *word)
 {
 	for (int i = 1; w[i] != NULL; i++) {
@@ -111,7 +113,7 @@
 	return false;
 }
 
-/* store */
+/* store [down|up|slow [MS]|drop [COUNT]|expire|compact]: start the store, later control it. */
 static void do_store(struct scenario *s, char **w)
 {
 	g_autofree char *prog = g_strconcat(s->bin, "/standin-store", NULL);
@@ -119,7 +121,7 @@
 	const char *n = w[1] != NULL && w[2] != NULL ? w[2] : "1";
 
 	if (s->store == NULL) {
-		s->store = proc_start(s, "store", args(prog, "127.0.0.1:0", NULL));
+		s->store = proc_start(s, "store", make_argv(prog, "127.0.0.1:0", NULL));
 		return;
 	}
 	s->last_fault_at = now_ns();
@@ -135,7 +137,7 @@
 	client_put(s->store->addr, "/control", body, NULL);
 }
 
-/* entry NAME [setting=value...] */
+/* entry NAME [SETTING=VALUE]: start an entry. */
 static void do_entry(struct scenario *s, char **w)
 {
 	g_autofree char *prog = g_strconcat(s->bin, "/damaskpathd", NULL);
@@ -146,11 +148,11 @@
 	g_autofree char *extra = w[2] != NULL ? g_strconcat("--", w[2], NULL) : NULL;
 
 	proc_start(s, w[1],
-		args(prog, "entry", http, store, name, "--coordinator-timeout=20s", extra,
+		make_argv(prog, "entry", http, store, name, "--coordinator-timeout=20s", extra,
 			NULL));
 }
 
-/* worker NAME [rack=R] [accelerators=N] [fail-all] [keys=K] */
+/* worker NAME [rack=R] [accelerators=N] [fail-all] [keys=K]: start agent and upstream. */
 static void do_worker(struct scenario *s, char **w)
 {
 	g_autofree char *prog = g_strconcat(s->bin, "/damaskpathd", NULL);
@@ -165,11 +167,12 @@
 	g_autofree char *peer = g_strconcat("--peer=", peer_addr, NULL);
 	g_autofree char *advertise = NULL;
 	char *relay_addr = NULL;
-	const char *rack = option(w, "rack");
-	const char *n = option(w, "accelerators");
-	g_autofree char *keys = option(w, "keys") != NULL
-					? g_strconcat("--peer-keys=", option(w, "keys"), NULL)
-					: NULL;
+	const char *rack = option_value(w, "rack");
+	const char *n = option_value(w, "accelerators");
+	g_autofree char *keys =
+		option_value(w, "keys") != NULL
+			? g_strconcat("--peer-keys=", option_value(w, "keys"), NULL)
+			: NULL;
 	struct worker *wk = xcalloc(1, sizeof(*wk));
 
 	g_strlcpy(wk->name, w[1], sizeof(wk->name));
@@ -177,17 +180,17 @@
 	advertise = g_strconcat("--advertise=", relay_addr, NULL);
 	g_free(relay_addr);
 	wk->agent = proc_start(s, agent_name,
-		args(prog, "agent", "--cell=cell-1", "--lease=3s", store, name, http, peer,
+		make_argv(prog, "agent", "--cell=cell-1", "--lease=3s", store, name, http, peer,
 			advertise, "--store-timeout=1s", keys, NULL));
 	wk->upstream = proc_start(s, w[1],
-		args(standin, "--http", up_addr, "--agent", http_addr, "--worker", w[1],
+		make_argv(standin, "--http", up_addr, "--agent", http_addr, "--worker", w[1],
 			"--rack", rack != NULL ? rack : "r1", "--accelerators",
 			n != NULL ? n : "8", has_word(w, "fail-all") ? "--fail-all" : NULL,
 			NULL));
 	g_ptr_array_add(s->workers, wk);
 }
 
-/* Write all sections of a document. */
+/* config FILE: create all sections of a document, each retried until it is accepted. */
 static void do_config(struct scenario *s, char **w)
 {
 	struct doc_problems problems = STAILQ_HEAD_INITIALIZER(problems);
@@ -196,13 +199,13 @@
 
 	if (!g_file_get_contents(w[1], &text, NULL, NULL) ||
 		!doc_split(text, sections, &problems)) {
-		fail(s, "%s cannot be read", w[1]);
+		fail(s, "cannot read or parse %s", w[1]);
 		return;
 	}
 	for (guint i = 0; i < sections->len; i++) {
 		const struct doc_section *sec = sections->pdata[i];
 		g_autofree char *path = g_strdup_printf("/v1/config/%s?base=0", sec->name);
-		int64_t limit = now_ns() + AWAIT_LIMIT;
+		int64_t limit = now_ns() + AWAIT_TIMEOUT;
 		int status = 0;
 
 		while (status != 200 && now_ns() < limit) {
@@ -211,11 +214,11 @@
 				usleep(50000);
 		}
 		if (status != 200)
-			fail(s, "section %s was not accepted: %d", sec->name, status);
+			fail(s, "section %s not accepted: HTTP status %d", sec->name, status);
 	}
 }
 
-/* Number of workers in a state, as an entry tells. */
+/* Count the workers in a state, as an entry reports them; name may be NULL. */
 static int count_workers(struct scenario *s, const char *state, const char *name)
 {
 	int status;
@@ -235,7 +238,7 @@
 	return n;
 }
 
-/* Whether every coordinator has a configuration and is settled. */
+/* Whether there is one cell, and its coordinator is settled and has a configuration. */
 static bool is_settled(struct scenario *s)
 {
 	int status;
@@ -249,7 +252,7 @@
 	return ok;
 }
 
-/* The configuration number in force at an entry; 0 where it does not answer. */
+/* Return the configuration number in force at an entry, or 0 if it does not respond. */
 static int64_t config_number(struct scenario *s, const char *addr)
 {
 	int status;
@@ -260,8 +263,8 @@
 	return status == 200 ? n : 0;
 }
 
-/* Look at each entry's configuration: none may go back. */
-static void watch_config(struct scenario *s)
+/* Check that no entry's configuration number has decreased. */
+static void check_config_numbers(struct scenario *s)
 {
 	for (guint i = 0; i < s->procs->len; i++) {
 		struct proc *p = s->procs->pdata[i];
@@ -280,8 +283,8 @@
 	}
 }
 
-/* Whether all entries have a configuration number. */
-static bool config_everywhere(struct scenario *s, int64_t n)
+/* Whether every running entry has at least this configuration number. */
+static bool all_entries_have_config(struct scenario *s, int64_t n)
 {
 	for (guint i = 0; i < s->procs->len; i++) {
 		struct proc *p = s->procs->pdata[i];
@@ -293,7 +296,7 @@
 	return true;
 }
 
-/* Whether a job has an outcome by now. */
+/* Whether a job has an outcome or its connection was cut; polls an accepted job. */
 static bool has_outcome(struct scenario *s, struct job *j)
 {
 	if (!__atomic_load_n(&j->call_returned, __ATOMIC_ACQUIRE))
@@ -302,8 +305,8 @@
 	return j->outcome != NULL || j->cut;
 }
 
-/* One condition of "await". */
-static bool holds(struct scenario *s, char **w)
+/* Evaluate the condition of an await command. */
+static bool condition_holds(struct scenario *s, char **w)
 {
 	struct job *j;
 
@@ -314,7 +317,7 @@
 	if (strcmp(w[1], "worker") == 0)
 		return count_workers(s, w[3], w[2]) == 1;
 	if (strcmp(w[1], "config") == 0)
-		return config_everywhere(s, atoi(w[2]));
+		return all_entries_have_config(s, atoi(w[2]));
 	if (strcmp(w[1], "running") == 0) {
 		j = find_job(s, w[2]);
 		return j != NULL && audit_count_starts(s, j) > 0;
@@ -330,61 +333,63 @@
 	return j != NULL && has_outcome(s, j);
 }
 
-/* await CONDITION... */
+/* await CONDITION...: wait until a condition holds. */
 static void do_await(struct scenario *s, char **w)
 {
-	int64_t limit = now_ns() + AWAIT_LIMIT;
+	int64_t limit = now_ns() + AWAIT_TIMEOUT;
 
-	while (!holds(s, w)) {
+	while (!condition_holds(s, w)) {
 		if (now_ns() > limit) {
-			fail(s, "%s %s did not come about", w[1], w[2] ? w[2] : "");
+			fail(s, "timed out waiting for %s %s", w[1], w[2] ? w[2] : "");
 			return;
 		}
 		usleep(20000);
 	}
 }
 
-/* The body of a submission, from the words of the command. */
+/* Build the request body of a submit command. */
 static char *job_body(const struct job *j, char **w)
 {
 	json_t *o = json_pack("{s:s,s:s,s:b}", "organisation",
-		option(w, "org") ? option(w, "org") : "alpha", "class",
-		option(w, "class") ? option(w, "class") : "normal", "idempotent",
+		option_value(w, "org") ? option_value(w, "org") : "alpha", "class",
+		option_value(w, "class") ? option_value(w, "class") : "normal", "idempotent",
 		j->idempotent);
 	g_autofree char *payload = g_strdup_printf("{\"tag\":\"%s\",\"sleep_ms\":%s%s%s%s}",
-		j->name, option(w, "sleep") ? option(w, "sleep") : "100",
+		j->name, option_value(w, "sleep") ? option_value(w, "sleep") : "100",
 		has_word(w, "fail") ? ",\"fail\":true" : "",
 		has_word(w, "ignore-stop") ? ",\"ignore_stop\":true" : "",
 		has_word(w, "refuse") ? ",\"refuse\":true" : "");
 	char *text;
 
 	json_object_set_new(o, "payload", json_string(payload));
-	json_object_set_new(
-		o, "accelerators", json_integer(option(w, "acc") ? atoi(option(w, "acc")) : 1));
-	if (option(w, "within") != NULL)
-		json_object_set_new(o, "within", json_string(option(w, "within")));
-	if (option(w, "deadline") != NULL)
-		json_object_set_new(o, "deadline_s", json_real(atof(option(w, "deadline"))));
-	if (option(w, "run") != NULL)
-		json_object_set_new(o, "run_time_s", json_real(atof(option(w, "run"))));
+	json_object_set_new(o, "accelerators",
+		json_integer(option_value(w, "acc") ? atoi(option_value(w, "acc")) : 1));
+	if (option_value(w, "within") != NULL)
+		json_object_set_new(o, "within", json_string(option_value(w, "within")));
+	if (option_value(w, "deadline") != NULL)
+		json_object_set_new(
+			o, "deadline_s", json_real(atof(option_value(w, "deadline"))));
+	if (option_value(w, "run") != NULL)
+		json_object_set_new(o, "run_time_s", json_real(atof(option_value(w, "run"))));
 	json_object_set_new(o, "checkpoint", json_boolean(has_word(w, "checkpoint")));
 	text = json_dumps(o, JSON_COMPACT);
 	json_decref(o);
 	return text;
 }
 
-/* Submit one job. */
-static struct job *submit_one(struct scenario *s, const char *name, char **w)
+/* Submit one job, which is recorded under name. */
+static struct job *submit_job(struct scenario *s, const char *name, char **w)
 {
 	struct job *j = xcalloc(1, sizeof(*j));
 
 	g_strlcpy(j->name, name, sizeof(j->name));
 	j->idempotent = has_word(w, "idempotent");
 	j->async = has_word(w, "async");
-	j->key = xstrdup(option(w, "key"));
-	j->entry_name = xstrdup(option(w, "entry"));
-	if (option(w, "tag") != NULL)
-		g_strlcpy(j->name, option(w, "tag"), sizeof(j->name));
+	j->key = xstrdup(option_value(w, "key"));
+	j->entry_name = xstrdup(option_value(w, "entry"));
+	/* job_body() takes the tag from the name. */
+	if (option_value(w, "tag") != NULL)
+		g_strlcpy(j->name, option_value(w, "tag"), sizeof(j->name));
 	j->body = job_body(j, w);
 	g_strlcpy(j->name, name, sizeof(j->name));
 	g_ptr_array_add(s->jobs, j);
@@ -392,58 +397,62 @@
 	return j;
 }
 
-/* submit NAME[*COUNT] [org=] [acc=] [within=] [sleep=] [idempotent] [async] [key=] ... */
+/*
+ * submit NAME[*COUNT] [WORD...]: submit a job, or jobs NAME0, NAME1 and so on. Words: org=,
+ * class=, acc=, within=, sleep=, deadline=, run=, key=, entry=, tag=, idempotent, async,
+ * checkpoint, fail, refuse, ignore-stop.
+ */
 static void do_submit(struct scenario *s, char **w)
 {
 	char *star = strchr(w[1], '*');
 	int n = star != NULL ? atoi(star + 1) : 1;
 
 	if (star == NULL) {
-		submit_one(s, w[1], w);
+		submit_job(s, w[1], w);
 		return;
 	}
 	*star = '\0';
 	for (int i = 0; i < n; i++) {
 		g_autofree char *name = g_strdup_printf("%s%d", w[1], i);
 
-		submit_one(s, name, w);
+		submit_job(s, name, w);
 	}
 }
 
-/* Wait for a job's outcome. */
-static void settle_job(struct scenario *s, struct job *j)
+/* Wait until a job has an outcome or the timeout has passed. */
+static void wait_for_outcome(struct scenario *s, struct job *j)
 {
-	int64_t limit = now_ns() + AWAIT_LIMIT;
+	int64_t limit = now_ns() + AWAIT_TIMEOUT;
 
 	while (!has_outcome(s, j) && now_ns() < limit)
 		usleep(10000);
 }
 
-/* expect JOB OUTCOME[|OUTCOME] [kind=K] */
+/* expect JOB OUTCOME[|OUTCOME...] [kind=K] [not_run]: wait for a job and check its outcome. */
 static void do_expect(struct scenario *s, char **w)
 {
 	struct job *j = find_job(s, w[1]);
 	g_auto(GStrv) any = g_strsplit(w[2], "|", -1);
 
 	if (j == NULL) {
-		fail(s, "there is no job %s", w[1]);
+		fail(s, "unknown job %s", w[1]);
 		return;
 	}
-	settle_job(s, j);
+	wait_for_outcome(s, j);
 	if (j->outcome == NULL || !g_strv_contains((const gchar *const *)any, j->outcome))
-		fail(s, "job %s ended %s, not %s: %s", w[1],
+		fail(s, "job %s: outcome is %s, expected %s: %s", w[1],
 			j->outcome ? j->outcome
-			: j->cut   ? "cut"
-				   : "nowhere",
+			: j->cut   ? "connection lost"
+				   : "none",
 			w[2], j->response ? j->response : "");
-	if (option(w, "kind") != NULL && g_strcmp0(option(w, "kind"), j->kind) != 0)
-		fail(s, "job %s has kind %s, not %s", w[1], j->kind ? j->kind : "none",
-			option(w, "kind"));
+	if (option_value(w, "kind") != NULL && g_strcmp0(option_value(w, "kind"), j->kind) != 0)
+		fail(s, "job %s: kind is %s, expected %s", w[1], j->kind ? j->kind : "none",
+			option_value(w, "kind"));
 	if (has_word(w, "not_run") && !j->not_run)
-		fail(s, "job %s was not said not to have run", w[1]);
+		fail(s, "job %s: not_run is not set", w[1]);
 }
 
-/* expect-all PREFIX OUTCOME: all jobs whose names begin so. */
+/* expect-all PREFIX OUTCOME: check the outcome of all jobs whose names have this prefix. */
 static void do_expect_all(struct scenario *s, char **w)
 {
 	for (guint i = 0; i < s->jobs->len; i++) {
@@ -455,7 +464,7 @@
 	}
 }
 
-/* runs JOB N: how often it was begun; "N-M" for a range. */
+/* runs JOB MIN[-MAX]: check how often a job was started. */
 static void do_runs(struct scenario *s, char **w)
 {
 	struct job *j = find_job(s, w[1]);
@@ -464,10 +473,10 @@
 	uint32_t max = strchr(w[2], '-') != NULL ? (uint32_t)atoi(strchr(w[2], '-') + 1) : min;
 
 	if (n < min || n > max)
-		fail(s, "job %s was begun %u times, not %s", w[1], n, w[2]);
+		fail(s, "job %s was started %u times, expected %s", w[1], n, w[2]);
 }
 
-/* cancel JOB */
+/* cancel JOB: wait until the submit call returns, then cancel the job if it has an ID. */
 static void do_cancel(struct scenario *s, char **w)
 {
 	struct job *j = find_job(s, w[1]);
@@ -484,9 +493,8 @@
 	http_call_free(c);
 }
 
-/* The processes that a name stands for: an entry, an agent, an upstream, or both of a worker.
- */
-static void signal_name(struct scenario *s, const char *name, int sig)
+/* Send a signal to a process, or to both the upstream and the agent of a worker. */
+static void signal_target(struct scenario *s, const char *name, int sig)
 {
 	struct worker *w = find_worker(s, name);
 
@@ -496,11 +504,11 @@
 		return;
 	}
 	if (!proc_signal(s, proc_find(s, name), sig))
-		fail(s, "there is no process %s to signal", name);
+		fail(s, "cannot signal %s: no such running process", name);
 }
 
-/* The agent that coordinates, by the log of terms that agents have won. */
-static struct worker *coordinator(struct scenario *s)
+/* Return the worker whose agent has logged the highest term among those not killed, or NULL. */
+static struct worker *find_coordinator(struct scenario *s)
 {
 	struct worker *best = NULL;
 	long best_term = -1;
@@ -512,7 +520,7 @@
 
 		if (w->agent->killed || !g_file_get_contents(w->agent->log, &log, NULL, NULL))
 			continue;
-		at = g_strrstr(log, "The term is ours");
+		at = g_strrstr(log, "Started coordinating");
 		at = at != NULL ? strstr(at, "term=") : NULL;
 		if (at != NULL && atol(at + 5) > best_term) {
 			best_term = atol(at + 5);
@@ -522,15 +530,18 @@
 	return best;
 }
 
-/* A name, or "coordinator" for the worker that coordinates. */
-static const char *resolve(struct scenario *s, const char *name)
+/*
+ * Return the name of the worker that coordinates for "coordinator", and any other name
+ * unchanged.
+ */
+static const char *resolve_name(struct scenario *s, const char *name)
 {
-	struct worker *w = strcmp(name, "coordinator") == 0 ? coordinator(s) : NULL;
+	struct worker *w = strcmp(name, "coordinator") == 0 ? find_coordinator(s) : NULL;
 
 	return w != NULL ? w->name : name;
 }
 
-/* restart NAME */
+/* restart NAME: start a process again, or those of a worker that have ended. */
 static void do_restart(struct scenario *s, char **w)
 {
 	struct worker *wk = find_worker(s, w[1]);
@@ -546,77 +557,77 @@
 	}
 }
 
-/* stop NAME: a planned stop, which must end by itself. */
+/* stop NAME: send SIGTERM and check that the processes exit with code 0. */
 static void do_stop(struct scenario *s, char **w)
 {
-	const char *who = resolve(s, w[1]);
+	const char *who = resolve_name(s, w[1]);
 	struct worker *wk = find_worker(s, who);
 	struct proc *p = proc_find(s, who);
 	int code = 0;
 
-	signal_name(s, who, SIGTERM);
+	signal_target(s, who, SIGTERM);
 	if (wk != NULL) {
-		code |= proc_reap(wk->upstream, STOP_LIMIT);
-		code |= proc_reap(wk->agent, STOP_LIMIT);
+		code |= proc_reap(wk->upstream, STOP_TIMEOUT);
+		code |= proc_reap(wk->agent, STOP_TIMEOUT);
 	} else if (p != NULL) {
-		code = proc_reap(p, STOP_LIMIT);
+		code = proc_reap(p, STOP_TIMEOUT);
 	}
 	if (code != 0)
-		fail(s, "%s ended with code %d", who, code);
+		fail(s, "%s exited with code %d", who, code);
 }
 
-/* link NAME open|hold|cut: the way to an agent's peer address. */
+/* link NAME open|hold|cut: set the mode of the relay in front of an agent's peer address. */
 static void do_link(struct scenario *s, char **w)
 {
 	struct worker *wk = find_worker(s, w[1]);
 
 	s->last_fault_at = now_ns();
 	if (wk == NULL)
-		fail(s, "there is no worker %s", w[1]);
+		fail(s, "unknown worker %s", w[1]);
 	else
 		relay_set(wk->relay, strcmp(w[2], "cut") == 0	 ? RELAY_CUT
 				     : strcmp(w[2], "hold") == 0 ? RELAY_HOLD
 								 : RELAY_OPEN);
 }
 
-/* probe: submit small jobs until one is done; notes the time since the last fault. */
+/* probe: submit short jobs until one is done; records the time since the last fault. */
 static void do_probe(struct scenario *s, char **w)
 {
-	int64_t limit = now_ns() + AWAIT_LIMIT;
+	int64_t limit = now_ns() + AWAIT_TIMEOUT;
 	char *words[] = {"submit", "probe", "idempotent", "sleep=1", "class=urgent", NULL};
 	bool ok = false;
 
 	(void)w;
 	for (int i = 0; !ok && now_ns() < limit; i++) {
 		g_autofree char *name = g_strdup_printf("probe%d-%d", s->line, i);
-		struct job *j = submit_one(s, name, words);
+		struct job *j = submit_job(s, name, words);
 
-		settle_job(s, j);
+		wait_for_outcome(s, j);
 		ok = g_strcmp0(j->outcome, "done") == 0;
 		if (!ok)
 			usleep(100000);
 	}
 	if (!ok)
-		fail(s, "no probe was answered");
+		fail(s, "no probe job was done");
 	if (s->last_fault_at > 0)
 		s->t.recovery_s = MAX(s->t.recovery_s,
 			(double)(now_ns() - s->last_fault_at) / (double)NSEC_PER_SEC);
 }
 
-/* race SECTIONS: that many operators edit sections of their own at once, through all entries.
- */
-struct racer {
+/* A thread of the race command, which edits a section of its own. */
+struct config_editor {
 	struct scenario *s;
 	const char *addr;
 	char *section;
 	int edits;
 	int accepted;
-	int64_t last;
+	int64_t last_number; /* configuration number of the last accepted edit */
 };
 
-static void *race_thread(void *arg)
+/* Make the edits in sequence; one that is not accepted is repeated. */
+static void *edit_thread(void *arg)
 {
-	struct racer *r = arg;
+	struct config_editor *r = arg;
 	uint64_t base = 0;
 
 	for (int i = 0; i < r->edits; i++) {
@@ -630,8 +641,8 @@
 
 		if (status == 200) {
 			r->accepted++;
-			r->last = json_integer_value(json_object_get(o, "number"));
-			base = (uint64_t)r->last;
+			r->last_number = json_integer_value(json_object_get(o, "number"));
+			base = (uint64_t)r->last_number;
 		} else {
 			i--;
 			usleep(20000);
@@ -641,12 +652,15 @@
 	return NULL;
 }
 
-/* race N EDITS */
+/*
+ * race N EDITS: N threads edit a section each at the same time, through all entries. The last
+ * accepted edit of every section must remain.
+ */
 static void do_race(struct scenario *s, char **w)
 {
 	int n = atoi(w[1]);
-	struct racer *r = xcalloc((size_t)n, sizeof(*r));
-	pthread_t *t = xcalloc((size_t)n, sizeof(*t));
+	struct config_editor *r = xcalloc((size_t)n, sizeof(*r));
+	pthread_t *threads = xcalloc((size_t)n, sizeof(*threads));
 	GPtrArray *entries = g_ptr_array_new();
 	int64_t last = 0;
 
@@ -657,34 +671,34 @@
 			g_ptr_array_add(entries, p->addr);
 	}
 	for (int i = 0; i < n; i++) {
-		r[i] = (struct racer){.s = s,
+		r[i] = (struct config_editor){.s = s,
 			.addr = entries->pdata[(guint)i % entries->len],
 			.edits = atoi(w[2])};
 		r[i].section = g_strdup_printf("race%d", i);
-		pthread_create(&t[i], NULL, race_thread, &r[i]);
+		pthread_create(&threads[i], NULL, edit_thread, &r[i]);
 	}
 	for (int i = 0; i < n; i++) {
-		pthread_join(t[i], NULL);
-		last = MAX(last, r[i].last);
+		pthread_join(threads[i], NULL);
+		last = MAX(last, r[i].last_number);
 	}
-	while (!config_everywhere(s, last))
+	while (!all_entries_have_config(s, last))
 		usleep(20000);
 	for (int i = 0; i < n; i++) {
 		g_autofree char *path = g_strdup_printf("/v1/config/teams/%s", r[i].section);
 		int status;
 		json_t *o = client_get(s, NULL, path, &status);
 
-		if (json_integer_value(json_object_get(o, "number")) != r[i].last)
+		if (json_integer_value(json_object_get(o, "number")) != r[i].last_number)
 			s->t.reverted++;
 		json_decref(o);
 		g_free(r[i].section);
 	}
 	g_ptr_array_unref(entries);
 	free(r);
-	free(t);
+	free(threads);
 }
 
-/* set SECTION BASE STATUS TEXT...: one edit, with the status that it must get. */
+/* set SECTION BASE STATUS TEXT...: make an edit and check the status of the response. */
 static void do_set(struct scenario *s, char **w)
 {
 	g_autofree char *path = g_strdup_printf("/v1/config/%s?base=%s", w[1], w[2]);
@@ -692,10 +706,13 @@
 	int status = client_put(any_entry(s), path, text, NULL);
 
 	if (status != atoi(w[3]))
-		fail(s, "the edit was answered with %d, not %s", status, w[3]);
+		fail(s, "edit got HTTP status %d, expected %s", status, w[3]);
 }
 
-/* raw NAME: send bytes that are no protocol to a process; it must go on. */
+/*
+ * raw NAME: send random bytes to an agent on 20 connections, every second one after a valid
+ * magic number. Every third connection stays open. The agent must survive this.
+ */
 static void do_raw(struct scenario *s, char **w)
 {
 	struct worker *wk = find_worker(s, w[1]);
@@ -721,7 +738,7 @@
 	}
 }
 
-/* One random fault of the mix, undone after a while. */
+/* Inject a random fault of the mix command and undo it after a random time. */
 static void random_fault(struct scenario *s)
 {
 	struct worker *w =
@@ -780,7 +797,10 @@
 	s->last_fault_at = now_ns();
 }
 
-/* mix JOBS SECONDS: random jobs under random faults. */
+/*
+ * mix JOBS SECONDS: submit random jobs under random faults. No fault is injected during the
+ * last tenth of the jobs.
+ */
 static void do_mix(struct scenario *s, char **w)
 {
 	static const char *const words[][6] = {
@@ -806,7 +826,7 @@
 		for (; words[kind][n] != NULL; n++)
 			all[n] = (char *)words[kind][n];
 		all[n] = sleep;
-		submit_one(s, name, all);
+		submit_job(s, name, all);
 		usleep((useconds_t)(step / 1000));
 		proc_watch(s);
 		if (now_ns() > next_fault && i < jobs * 9 / 10) {
@@ -817,22 +837,25 @@
 	}
 }
 
+/* kill NAME: send SIGKILL. */
 static void do_kill(struct scenario *s, char **w)
 {
-	signal_name(s, resolve(s, w[1]), SIGKILL);
+	signal_target(s, resolve_name(s, w[1]), SIGKILL);
 }
 
+/* pause NAME: send SIGSTOP. */
 static void do_pause(struct scenario *s, char **w)
 {
-	signal_name(s, resolve(s, w[1]), SIGSTOP);
+	signal_target(s, resolve_name(s, w[1]), SIGSTOP);
 }
 
+/* resume NAME: send SIGCONT. */
 static void do_resume(struct scenario *s, char **w)
 {
-	signal_name(s, w[1], SIGCONT);
+	signal_target(s, w[1], SIGCONT);
 }
 
-/* resume-all: let every paused process go on. */
+/* resume-all: send SIGCONT to all processes. */
 static void do_resume_all(struct scenario *s, char **w)
 {
 	(void)w;
@@ -845,31 +868,32 @@
 	s->last_fault_at = now_ns();
 }
 
-/* term NAME: begin a planned stop without waiting for its end. */
+/* term NAME: send SIGTERM without waiting for the exit. */
 static void do_term(struct scenario *s, char **w)
 {
-	signal_name(s, resolve(s, w[1]), SIGTERM);
+	signal_target(s, resolve_name(s, w[1]), SIGTERM);
 }
 
+/* wait DURATION */
 static void do_wait(struct scenario *s, char **w)
 {
 	int64_t ns = 0;
 
 	if (!duration_parse(w[1], &ns))
-		fail(s, "'%s' is not a duration", w[1]);
+		fail(s, "invalid duration '%s'", w[1]);
 	usleep((useconds_t)(ns / 1000));
 }
 
-/* expect-config N: every entry has at least this edit in force. */
+/* expect-config N: check that every entry has at least this configuration number. */
 static void do_expect_config(struct scenario *s, char **w)
 {
-	if (!config_everywhere(s, atoi(w[1])))
-		fail(s, "edit %s is not in force everywhere", w[1]);
+	if (!all_entries_have_config(s, atoi(w[1])))
+		fail(s, "configuration number %s is not in force at every entry", w[1]);
 }
 
 static const struct command {
 	const char *name;
-	int words;
+	int words; /* minimum number of words, including the name */
 	void (*exec)(struct scenario *s, char **w);
 } commands[] = {
 	{"store", 1, do_store},
@@ -899,7 +923,7 @@
 	{"wait", 2, do_wait},
 };
 
-/* Run one line. */
+/* Run a command, then check the configuration numbers and look for crashed processes. */
 static void run_line(struct scenario *s, const char *line)
 {
 	g_auto(GStrv) w = NULL;
@@ -911,24 +935,24 @@
 		if (strcmp(commands[i].name, w[0]) != 0)
 			continue;
 		if (argc < commands[i].words)
-			fail(s, "%s needs more words", w[0]);
+			fail(s, "%s: missing argument", w[0]);
 		else
 			commands[i].exec(s, w);
-		watch_config(s);
+		check_config_numbers(s);
 		proc_watch(s);
 		return;
 	}
-	fail(s, "there is no command %s", w[0]);
+	fail(s, "unknown command %s", w[0]);
 }
 
-/* Run a file's lines; "include FILE" takes in another one. */
+/* Run the commands of a file; "include FILE" runs another file. */
 static void run_file(struct scenario *s, const char *path)
 {
 	g_autofree char *text = NULL;
 	g_auto(GStrv) lines = NULL;
 
 	if (!g_file_get_contents(path, &text, NULL, NULL)) {
-		fail(s, "%s cannot be read", path);
+		fail(s, "cannot read %s", path);
 		return;
 	}
 	lines = g_strsplit(text, "\n", -1);
@@ -945,19 +969,19 @@
 	}
 }
 
-/* Wait for all answers, then count what must not be. */
-static void finish(struct scenario *s)
+/* Wait for all jobs, then count the violations. */
+static void check_results(struct scenario *s)
 {
 	for (guint i = 0; i < s->jobs->len; i++) {
 		struct job *j = s->jobs->pdata[i];
 
-		settle_job(s, j);
+		wait_for_outcome(s, j);
 		if (j->thread_started && __atomic_load_n(&j->call_returned, __ATOMIC_ACQUIRE))
 			pthread_join(j->thread, NULL);
 		if (!__atomic_load_n(&j->call_returned, __ATOMIC_ACQUIRE) ||
 			(j->outcome == NULL && !j->cut)) {
-			fprintf(stderr, "%s: job %s got no outcome (%s)\n", s->file, j->name,
-				j->id ? j->id : "no id");
+			fprintf(stderr, "%s: job %s has no outcome (%s)\n", s->file, j->name,
+				j->id ? j->id : "no ID");
 			s->t.lost++;
 		}
 		if (j->cut) {
@@ -971,8 +995,8 @@
 	audit_check_runs(s);
 }
 
-/* End all processes. */
-static void end_all(struct scenario *s)
+/* Kill all processes and free the relays. */
+static void kill_all_procs(struct scenario *s)
 {
 	for (guint i = 0; i < s->procs->len; i++) {
 		struct proc *p = s->procs->pdata[i];
@@ -986,7 +1010,7 @@
 		relay_free(((struct worker *)s->workers->pdata[i])->relay);
 }
 
-/* Print the logs of the processes, for a scenario that failed. */
+/* Print the logs of all processes. */
 static void print_logs(struct scenario *s)
 {
 	for (guint i = 0; i < s->procs->len; i++) {
@@ -998,7 +1022,13 @@
 	}
 }
 
-/* usage: run-scenario BIN FILE [SEED] */
+/*
+ * usage: run-scenario BIN FILE [SEED]
+ *
+ * BIN is the folder of the programs. Prints a line of results and exits with 1 on a violation;
+ * the output files of the processes are kept then, and their logs are printed if SCENARIO_LOGS
+ * is set.
+ */
 int main(int argc, char **argv)
 {
 	struct scenario s = {.procs = g_ptr_array_new_with_free_func(proc_free),
@@ -1008,8 +1038,8 @@
 			g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free)};
 	uint32_t seed = argc > 3 ? (uint32_t)atoi(argv[3]) : 1;
 	g_autofree char *base = NULL;
-	struct scenario_counts *t = &s.t;
-	uint32_t bad;
+	struct scenario_counts *c = &s.t;
+	uint32_t violations;
 
 	if (argc < 3) {
 		fprintf(stderr, "usage: run-scenario BIN FILE [SEED]\n");
@@ -1021,32 +1051,32 @@
 	s.dir = g_dir_make_tmp("damaskpath-XXXXXX", NULL);
 	s.rand = g_rand_new_with_seed(seed);
 	run_file(&s, argv[2]);
-	finish(&s);
-	bad = t->lost + t->doubled + t->partial + t->false_not_run + t->cut + t->reverted +
-	      t->failed;
-	end_all(&s);
+	check_results(&s);
+	violations = c->lost + c->doubled + c->partial + c->false_not_run + c->cut +
+		     c->reverted + c->failed;
+	kill_all_procs(&s);
 	base = g_path_get_basename(argv[2]);
 	printf("fault name=%.*s runs=%u jobs=%u lost=%u doubled=%u partial_over_bound=%u "
 	       "false_not_run=%u cut=%u reverted=%u failed=%u recovery_s=%.2f\n",
-		(int)strcspn(base, "."), base, t->runs, s.jobs->len, t->lost, t->doubled,
-		t->partial, t->false_not_run, t->cut, t->reverted, t->failed, t->recovery_s);
-	if (bad > 0 && getenv("SCENARIO_LOGS") != NULL)
+		(int)strcspn(base, "."), base, c->runs, s.jobs->len, c->lost, c->doubled,
+		c->partial, c->false_not_run, c->cut, c->reverted, c->failed, c->recovery_s);
+	if (violations > 0 && getenv("SCENARIO_LOGS") != NULL)
 		print_logs(&s);
-	if (bad > 0)
-		fprintf(stderr, "%s: files in %s\n", s.file, s.dir);
+	if (violations > 0)
+		fprintf(stderr, "%s: output files are in %s\n", s.file, s.dir);
 	else {
-		g_autofree char *rm = g_strdup_printf("%s", s.dir);
-		GDir *d = g_dir_open(rm, 0, NULL);
+		g_autofree char *dir = g_strdup_printf("%s", s.dir);
+		GDir *d = g_dir_open(dir, 0, NULL);
 		const char *name;
 
 		while (d != NULL && (name = g_dir_read_name(d)) != NULL) {
-			g_autofree char *path = g_build_filename(rm, name, NULL);
+			g_autofree char *path = g_build_filename(dir, name, NULL);
 
 			unlink(path);
 		}
 		if (d != NULL)
 			g_dir_close(d);
-		rmdir(rm);
+		rmdir(dir);
 	}
-	return bad == 0 ? 0 : 1;
+	return violations == 0 ? 0 : 1;
 }
