--- a/tests/scenario/client.c
+++ b/tests/scenario/client.c
@@ -4,10 +4,13 @@
 #include <string.h>
 #include <unistd.h>
 
-#define CALL_LIMIT (120 * NSEC_PER_SEC)
+#define SUBMIT_TIMEOUT (120 * NSEC_PER_SEC)
 
-/* Take the outcome out of an answer. */
-static void read_answer(struct job *j, const struct http_call *c)
+/*
+ * Set a job's outcome from a response: 202 only gives an ID, a problem document an error, and
+ * anything else counts as done.
+ */
+static void parse_response(struct job *j, const struct http_call *c)
 {
 	json_t *o = json_loadb(c->answer.data, c->answer.len, 0, NULL);
 	bool problem = c->type != NULL && strcmp(c->type, "application/problem+json") == 0;
@@ -31,8 +34,8 @@
 	json_decref(o);
 }
 
-/* The entry that a job goes to. */
-static const char *entry_of(struct scenario *s, const struct job *j)
+/* Return the address of the entry that a job names, or of any entry. */
+static const char *job_entry_addr(struct scenario *s, const struct job *j)
 {
 	struct proc *p = j->entry_name != NULL ? proc_find(s, j->entry_name) : NULL;
 
@@ -45,7 +48,7 @@
 	char *url;
 };
 
-/* Submit and wait for the answer, on a thread of its own. */
+/* Submit a job and wait for the response, on a thread of its own. */
 static void *submit_thread(void *arg)
 {
 	struct submission *sub = arg;
@@ -57,15 +60,15 @@
 	if (j->async)
 		http_call_header(c, "Prefer", "respond-async");
 	c->body = bytes_copy(j->body, strlen(j->body));
-	c->timeout = CALL_LIMIT;
+	c->timeout = SUBMIT_TIMEOUT;
 	http_call_run(c);
 	if (c->error != NULL && c->never_sent)
 		j->outcome = xstrdup("refused");
 	else if (c->error != NULL) {
 		j->cut = true;
-		fprintf(stderr, "job %s was cut: %s\n", j->name, c->error->message);
+		fprintf(stderr, "job %s: connection failed: %s\n", j->name, c->error->message);
 	} else
-		read_answer(j, c);
+		parse_response(j, c);
 	http_call_free(c);
 	free(sub->url);
 	free(sub);
@@ -73,18 +76,18 @@
 	return NULL;
 }
 
-/* Submit a job in the background. */
+/* Start a thread that submits a job. */
 void client_submit(struct scenario *s, struct job *j)
 {
 	struct submission *sub = xcalloc(1, sizeof(*sub));
 
 	sub->s = s;
 	sub->job = j;
-	xasprintf(&sub->url, "http://%s/v1/jobs", entry_of(s, j));
+	xasprintf(&sub->url, "http://%s/v1/jobs", job_entry_addr(s, j));
 	j->thread_started = pthread_create(&j->thread, NULL, submit_thread, sub) == 0;
 }
 
-/* GET a path of an entry. */
+/* GET a path of an entry, or of any entry if entry is NULL; the body may be NULL. */
 json_t *client_get(struct scenario *s, const char *entry, const char *path, int *status)
 {
 	AUTOFREE char *url = NULL;
@@ -101,7 +104,10 @@
 	return o;
 }
 
-/* Send a text to a path; the status, 0 where nothing answered. */
+/*
+ * PUT a text to a path, or POST it if the path is /control. Returns the status, or 0 if there
+ * was no response.
+ */
 int client_put(const char *entry, const char *path, const char *text, json_t **answer)
 {
 	AUTOFREE char *url = NULL;
@@ -121,7 +127,7 @@
 	return status;
 }
 
-/* For a job that was accepted: ask how it ended. */
+/* Query an accepted job without an outcome and record how it ended, if it has. */
 void client_poll(struct scenario *s, struct job *j)
 {
 	AUTOFREE char *path = NULL;
