--- a/tests/scenario/proc.c
+++ b/tests/scenario/proc.c
@@ -10,10 +10,12 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
-#define START_LIMIT (20 * NSEC_PER_SEC)
-#define PORT_FIRST  10000
-#define PORT_PARTS  500
-#define PORTS_EACH  40
+#define START_TIMEOUT (20 * NSEC_PER_SEC)
+
+/* 10000 to 29999, below the default ephemeral ports of Linux, which start at 32768. */
+#define PORT_FIRST	10000
+#define PORT_RANGES	500
+#define PORTS_PER_RANGE 40
 
 /* Find a process by name. */
 struct proc *proc_find(struct scenario *s, const char *name)
@@ -27,8 +29,8 @@
 	return NULL;
 }
 
-/* Start the program of a process; output is appended to its files. */
-static void launch(struct proc *p)
+/* Fork and execute a process; its output is appended to its files. */
+static void spawn(struct proc *p)
 {
 	p->killed = false;
 	p->stopping = false;
@@ -44,10 +46,15 @@
 	_exit(127);
 }
 
-/* The address that a process printed after "ready " or logged after "http=" or "upstream=". */
+/*
+ * Return the latest address that a process has printed after "ready " or logged after "http="
+ * or "upstream=", or NULL. For a process that logs none of them it is the role from its start
+ * event, which only shows that the process has started.
+ */
 static char *find_addr(const struct proc *p)
 {
-	static const char *const marks[] = {"ready ", "http=", "upstream=", "ev=start role="};
+	static const char *const prefixes[] = {
+		"ready ", "http=", "upstream=", "ev=start role="};
 	g_autofree char *out = NULL;
 	g_autofree char *log = NULL;
 	g_autofree char *both = NULL;
@@ -55,22 +62,22 @@
 	g_file_get_contents(p->out, &out, NULL, NULL);
 	g_file_get_contents(p->log, &log, NULL, NULL);
 	both = g_strconcat(out ? out : "", log ? log : "", NULL);
-	for (size_t i = 0; i < ARRAY_LEN(marks); i++) {
-		const char *at = g_strrstr(both, marks[i]);
+	for (size_t i = 0; i < ARRAY_LEN(prefixes); i++) {
+		const char *at = g_strrstr(both, prefixes[i]);
 
 		if (at == NULL)
 			continue;
-		at += strlen(marks[i]);
+		at += strlen(prefixes[i]);
 		if (strpbrk(at, " \n") != NULL)
 			return g_strndup(at, (gsize)(strpbrk(at, " \n") - at));
 	}
 	return NULL;
 }
 
-/* Wait until a process has told its address. */
-static void await_ready(struct scenario *s, struct proc *p)
+/* Wait until a process has reported its address. */
+static void wait_until_ready(struct scenario *s, struct proc *p)
 {
-	int64_t limit = now_ns() + START_LIMIT;
+	int64_t limit = now_ns() + START_TIMEOUT;
 
 	g_free(p->addr);
 	p->addr = NULL;
@@ -80,16 +87,19 @@
 			usleep(5000);
 	}
 	if (p->addr == NULL)
-		fail(s, "%s did not start", p->name);
+		fail(s, "%s did not report that it is ready", p->name);
 }
 
-/* Start a process; owns argv. */
+/* Start a process and wait until it is ready; takes ownership of argv. */
 struct proc *proc_start(struct scenario *s, const char *name, char **argv)
 {
 	return proc_start_node(s, name, argv, NULL);
 }
 
-/* Start a process with a settings file of the platform; owns argv. */
+/*
+ * Like proc_start(), with the path of the platform's settings file in DAMASKPATH_NODE_FILE
+ * unless it is NULL.
+ */
 struct proc *proc_start_node(
 	struct scenario *s, const char *name, char **argv, const char *node_file)
 {
@@ -102,19 +112,19 @@
 	xasprintf(&p->out, "%s/%s.out", s->dir, name);
 	xasprintf(&p->log, "%s/%s.log", s->dir, name);
 	g_ptr_array_add(s->procs, p);
-	launch(p);
-	await_ready(s, p);
+	spawn(p);
+	wait_until_ready(s, p);
 	return p;
 }
 
-/* Start a process again with the same arguments. */
+/* Start a process again with the same arguments, without waiting until it is ready. */
 void proc_restart(struct scenario *s, struct proc *p)
 {
 	(void)s;
-	launch(p);
+	spawn(p);
 }
 
-/* Send a signal. */
+/* Send a signal and wait for the exit after SIGKILL; false if the process is not running. */
 bool proc_signal(struct scenario *s, struct proc *p, int sig)
 {
 	s->last_fault_at = now_ns();
@@ -136,7 +146,7 @@
 	return true;
 }
 
-/* Report the processes that ended though nobody told them to: they crashed. */
+/* Report the processes that ended without being stopped or killed. */
 void proc_watch(struct scenario *s)
 {
 	for (guint i = 0; i < s->procs->len; i++) {
@@ -146,13 +156,16 @@
 		if (p->pid <= 0 || p->stopping || waitpid(p->pid, &status, WNOHANG) != p->pid)
 			continue;
 		p->pid = 0;
-		fail(s, "%s ended by itself with %s %d", p->name,
-			WIFSIGNALED(status) ? "signal" : "code",
+		fail(s, "%s ended unexpectedly with %s %d", p->name,
+			WIFSIGNALED(status) ? "signal" : "exit code",
 			WIFSIGNALED(status) ? WTERMSIG(status) : WEXITSTATUS(status));
 	}
 }
 
-/* Wait for a process to end; its exit code, or -1 at the limit, when it is killed. */
+/*
+ * Wait for a process to end. Returns its exit code, 128 plus the signal that ended it, or -1 if
+ * it was killed here because the timeout passed.
+ */
 int proc_reap(struct proc *p, int64_t limit)
 {
 	int64_t until = now_ns() + limit;
@@ -173,7 +186,7 @@
 	return WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status);
 }
 
-/* Free a process's record. */
+/* Free a struct proc. */
 void proc_free(void *arg)
 {
 	struct proc *p = arg;
@@ -187,38 +200,40 @@
 	free(p);
 }
 
-/* A part of the ports that no other runner uses, locked for as long as this process lives. */
-static int port_part(void)
+/*
+ * Return the index of a port range that no other runner uses. The lock on its file is held
+ * until this process exits. If all are locked, the range is not exclusive.
+ */
+static int lock_port_range(void)
 {
 	static int lock = -1;
 
-	for (int i = 0; i < PORT_PARTS; i++) {
-		int part = (getpid() + i) % PORT_PARTS;
-		g_autofree char *path = g_strdup_printf("/tmp/damaskpath-ports.%d", part);
+	for (int i = 0; i < PORT_RANGES; i++) {
+		int range = (getpid() + i) % PORT_RANGES;
+		g_autofree char *path = g_strdup_printf("/tmp/damaskpath-ports.%d", range);
 
 		lock = open(path, O_RDWR | O_CREAT | O_CLOEXEC, 0600);
 		if (lock >= 0 && flock(lock, LOCK_EX | LOCK_NB) == 0)
-			return part;
+			return range;
 		if (lock >= 0)
 			close(lock);
 	}
-	return getpid() % PORT_PARTS;
+	return getpid() % PORT_RANGES;
 }
 
 /*
- * A loopback address that is free now. Ports lie below those that the system gives out by
- * itself, in a part that other runners do not use: a port is free while its process is being
- * restarted.
+ * Return a loopback address that is not in use. Its port is below the ephemeral ports and in a
+ * range of this runner, so that nothing else takes it while its process is being restarted.
  */
 char *free_addr(void)
 {
-	static int part = -1;
+	static int range = -1;
 	static int used;
 
-	if (part < 0)
-		part = port_part();
+	if (range < 0)
+		range = lock_port_range();
 	for (;;) {
-		int port = PORT_FIRST + part * PORTS_EACH + used++ % PORTS_EACH;
+		int port = PORT_FIRST + range * PORTS_PER_RANGE + used++ % PORTS_PER_RANGE;
 		g_autofree char *want = g_strdup_printf("127.0.0.1:%d", port);
 		char *addr = NULL;
 		int fd = addr_listen(want, &addr, NULL);
