--- a/tests/scenario/runner.c
+++ b/tests/scenario/runner.c
@@ -228,10 +228,10 @@
 	int n = 0;
 
 	json_array_foreach(status == 200 ? o : NULL, i, row) {
-		const char *have = json_string_value(json_object_get(row, "state"));
+		const char *actual_state = json_string_value(json_object_get(row, "state"));
 		const char *worker = json_string_value(json_object_get(row, "worker"));
 
-		n += have != NULL && strcmp(have, state) == 0 &&
+		n += actual_state != NULL && strcmp(actual_state, state) == 0 &&
 		     (name == NULL || strcmp(name, worker) == 0);
 	}
 	json_decref(o);
@@ -432,14 +432,15 @@
 static void do_expect(struct scenario *s, char **w)
 {
 	struct job *j = find_job(s, w[1]);
-	g_auto(GStrv) any = g_strsplit(w[2], "|", -1);
+	g_auto(GStrv) accepted_outcomes = g_strsplit(w[2], "|", -1);
 
 	if (j == NULL) {
 		fail(s, "unknown job %s", w[1]);
 		return;
 	}
 	wait_for_outcome(s, j);
-	if (j->outcome == NULL || !g_strv_contains((const gchar *const *)any, j->outcome))
+	if (j->outcome == NULL ||
+		!g_strv_contains((const gchar *const *)accepted_outcomes, j->outcome))
 		fail(s, "job %s: outcome is %s, expected %s: %s", w[1],
 			j->outcome ? j->outcome
 			: j->cut   ? "connection lost"
@@ -560,12 +561,12 @@
 /* stop NAME: send SIGTERM and check that the processes exit with code 0. */
 static void do_stop(struct scenario *s, char **w)
 {
-	const char *who = resolve_name(s, w[1]);
-	struct worker *wk = find_worker(s, who);
-	struct proc *p = proc_find(s, who);
+	const char *target = resolve_name(s, w[1]);
+	struct worker *wk = find_worker(s, target);
+	struct proc *p = proc_find(s, target);
 	int code = 0;
 
-	signal_target(s, who, SIGTERM);
+	signal_target(s, target, SIGTERM);
 	if (wk != NULL) {
 		code |= proc_reap(wk->upstream, STOP_TIMEOUT);
 		code |= proc_reap(wk->agent, STOP_TIMEOUT);
@@ -573,7 +574,7 @@
 		code = proc_reap(p, STOP_TIMEOUT);
 	}
 	if (code != 0)
-		fail(s, "%s exited with code %d", who, code);
+		fail(s, "%s exited with code %d", target, code);
 }
 
 /* link NAME open|hold|cut: set the mode of the relay in front of an agent's peer address. */
