--- a/tests/scenario/proc.c
+++ b/tests/scenario/proc.c
@@ -57,13 +57,13 @@
 		"ready ", "http=", "upstream=", "ev=start role="};
 	g_autofree char *out = NULL;
 	g_autofree char *log = NULL;
-	g_autofree char *both = NULL;
+	g_autofree char *output = NULL;
 
 	g_file_get_contents(p->out, &out, NULL, NULL);
 	g_file_get_contents(p->log, &log, NULL, NULL);
-	both = g_strconcat(out ? out : "", log ? log : "", NULL);
+	output = g_strconcat(out ? out : "", log ? log : "", NULL);
 	for (size_t i = 0; i < ARRAY_LEN(prefixes); i++) {
-		const char *at = g_strrstr(both, prefixes[i]);
+		const char *at = g_strrstr(output, prefixes[i]);
 
 		if (at == NULL)
 			continue;
@@ -234,9 +234,9 @@
 		range = lock_port_range();
 	for (;;) {
 		int port = PORT_FIRST + range * PORTS_PER_RANGE + used++ % PORTS_PER_RANGE;
-		g_autofree char *want = g_strdup_printf("127.0.0.1:%d", port);
+		g_autofree char *candidate = g_strdup_printf("127.0.0.1:%d", port);
 		char *addr = NULL;
-		int fd = addr_listen(want, &addr, NULL);
+		int fd = addr_listen(candidate, &addr, NULL);
 
 		if (fd < 0)
 			continue;
