--- a/packages/coordination/coord.c
+++ b/packages/coordination/coord.c
@@ -262,7 +262,7 @@
 	struct msg m = {.kind = MSG_WELCOME,
 		.welcome = {.term = c->term,
 			.cell = c->cell,
-			.beat_ms = COORD_BEAT_MS,
+			.heartbeat_ms = COORD_BEAT_MS,
 			.lease_ms = COORD_LEASE_MS,
 			.config_revision = c->config_number}};
 
@@ -328,7 +328,7 @@
 		.largest_rack = v.largest_rack,
 		.queued = (uint32_t)sched_queued_count(c->sched),
 		.running = (uint32_t)sched_running_count(c->sched),
-		.oldest_ms = (uint32_t)(v.oldest / NSEC_PER_MSEC),
+		.oldest_queued_ms = (uint32_t)(v.oldest / NSEC_PER_MSEC),
 		.config_revision = c->config_number,
 	};
 	g_hash_table_iter_init(&it, c->entries);
--- a/tests/scenario/runner.c
+++ b/tests/scenario/runner.c
@@ -198,7 +198,7 @@
 	g_autofree char *text = NULL;
 
 	if (!g_file_get_contents(w[1], &text, NULL, NULL) ||
-		!doc_split(text, sections, &problems)) {
+		!doc_split_sections(text, sections, &problems)) {
 		fail(s, "cannot read or parse %s", w[1]);
 		return;
 	}
