--- a/packages/coordination/coord.c
+++ b/packages/coordination/coord.c
@@ -163,7 +163,7 @@
 		coord_set_doc(c, now, config);
 	settle_load_records(c, now, records);
 	log_info("coord",
-		"The term is ours; waiting for the inventories of %u agents. cell=%s "
+		"Started coordinating; waiting for the inventories of %u agents. cell=%s "
 		"term=%" PRIu64,
 		g_hash_table_size(c->previous_roster), c->cell, term);
 }
