--- a/packages/coordination/sched-claim.c
+++ b/packages/coordination/sched-claim.c
@@ -303,7 +303,7 @@
 {
 	struct fit f;
 
-	if (!fit_job(s, now, j, job_stoppable(j) ? FIT_BORROWED : FIT_COMMITTED, NULL, &f))
+	if (!fit_job(s, now, j, job_stoppable(j) ? FIT_FREE : FIT_UNCOMMITTED, NULL, &f))
 		return false;
 	start_on(s, now, j, &f, false, NULL);
 	return true;
@@ -437,11 +437,11 @@
  * it is urgent, and if the work lost is small. Gangs that do not all fit at once thus share the
  * workers in time slices instead of waiting for the longest of them to end.
  */
-bool claim_time_slice(struct sched *s, int64_t now, struct sched_job *j)
+bool claim_outside_guarantee(struct sched *s, int64_t now, struct sched_job *j)
 {
 	struct claim best = {.victims = g_ptr_array_new()};
-	struct claim c = {.mode = job_stoppable(j) ? FIT_BORROWED_AFTER_PREEMPTION
-						   : FIT_COMMITTED_AFTER_PREEMPTION,
+	struct claim c = {.mode = job_stoppable(j) ? FIT_FREE_AFTER_PREEMPTION
+						   : FIT_UNCOMMITTED_AFTER_PREEMPTION,
 		.victims = g_ptr_array_new()};
 	double estimated_work = (double)j->estimate / (double)NSEC_PER_SEC * j->accelerators;
 	double loss_max = j->urgent ? URGENT_LOSS_MAX : LOSS_RATIO_MAX * estimated_work;
--- a/packages/coordination/sched-fit.c
+++ b/packages/coordination/sched-fit.c
@@ -57,7 +57,7 @@
 	const struct sched_worker *w, const struct sched_job *j, int64_t now)
 {
 	return w->reserved_for != JOB_REF_NONE && w->reserved_for != j->ref &&
-	       now + j->estimate > w->reserved_until;
+	       now + j->estimate > w->reserved_job_start;
 }
 
 /* Returns the unused accelerators on a worker of one hold or, if NULL, of the organisation. */
@@ -89,16 +89,16 @@
 	case FIT_CHARGED:
 		unused = MIN(unused_on(s, j, worker, hold), j->accelerators);
 		return unused == 0 ? 0 : chargeable_count(w, j, unused);
-	case FIT_COMMITTED:
+	case FIT_UNCOMMITTED:
 		uncommitted = worker_uncommitted(w);
 		available = res_min(&available, &uncommitted);
 		return res_fit_count(j, &available);
-	case FIT_BORROWED:
+	case FIT_FREE:
 		return res_fit_count(j, &available);
-	case FIT_COMMITTED_AFTER_PREEMPTION:
+	case FIT_UNCOMMITTED_AFTER_PREEMPTION:
 		uncommitted = worker_uncommitted(w);
 		return res_fit_count(j, &uncommitted);
-	case FIT_BORROWED_AFTER_PREEMPTION:
+	case FIT_FREE_AFTER_PREEMPTION:
 		available = w->capacity;
 		res_sub(&available, &w->committed);
 		res_sub(&available, &w->pending);
@@ -256,7 +256,7 @@
 		if (s->policy != SCHED_POLICY_FULL)
 			return (int)i;
 		score = fragmentation_growth(s, f, w, n) + FREE_WEIGHT * free_count(w);
-		if (mode == FIT_BORROWED && !j->charged)
+		if (mode == FIT_FREE && !j->charged)
 			score += HELD_WEIGHT * w->held;
 		if (best < 0 || score < best_score) {
 			best = (int)i;
--- a/packages/coordination/sched-health.c
+++ b/packages/coordination/sched-health.c
@@ -56,12 +56,12 @@
 		struct sched_worker *first = sched_worker_at(s, j->failed_on[0]);
 
 		if (j->failed_on_len == FAULTY_JOB_WORKERS && !first->quarantined &&
-			first->failed_jobs > 0)
-			first->failed_jobs--;
+			first->consecutive_failed_jobs > 0)
+			first->consecutive_failed_jobs--;
 		return;
 	}
-	w->failed_jobs++;
-	if (w->probing || w->failed_jobs >= QUARANTINE_FAILED_JOBS)
+	w->consecutive_failed_jobs++;
+	if (w->probing || w->consecutive_failed_jobs >= QUARANTINE_FAILED_JOBS)
 		quarantine(s, now, w);
 }
 
@@ -70,7 +70,7 @@
 {
 	struct sched_worker *w = sched_worker_at(s, worker);
 
-	w->failed_jobs = 0;
+	w->consecutive_failed_jobs = 0;
 	w->quarantined = false;
 	w->probing = false;
 	w->quarantine_length = 0;
--- a/packages/coordination/sched-hold.c
+++ b/packages/coordination/sched-hold.c
@@ -191,7 +191,7 @@
 }
 
 /* Charges a job for a hold that was placed within it. */
-void hold_charge_all(struct sched *s, struct sched_job *j, struct sched_hold *h)
+void hold_charge_pieces(struct sched *s, struct sched_job *j, struct sched_hold *h)
 {
 	if (j->charges == NULL)
 		j->charges = g_array_new(FALSE, TRUE, sizeof(struct sched_charge));
--- a/packages/coordination/sched-plan.c
+++ b/packages/coordination/sched-plan.c
@@ -190,12 +190,12 @@
  * holds anew. A hold of the job's own organisation may be placed around the job. Returns false
  * and changes nothing if more holds than before would be left without a placement.
  */
-bool plan_start_moving_holds(struct sched *s, int64_t now, struct sched_job *j)
+bool plan_assign_moving_holds(struct sched *s, int64_t now, struct sched_job *j)
 {
 	uint32_t before = count_unplaced(s);
 	struct unplaced_holds unplaced = unplace_unused(s);
 	struct fit f;
-	bool ok = fit_job(s, now, j, FIT_COMMITTED, NULL, &f);
+	bool ok = fit_job(s, now, j, FIT_UNCOMMITTED, NULL, &f);
 
 	if (ok)
 		sched_assign(s, j, &f, false, NULL, false);
@@ -319,7 +319,7 @@
 		hold_unplace(s, h);
 		g_ptr_array_remove_index(s->holds, i);
 	}
-	plan_charge_running(s);
+	plan_place_around_running(s);
 	plan_place_holds(s, now);
 }
 
@@ -362,7 +362,7 @@
 		if (hold_is_on(h, worker))
 			hold_unplace(s, h);
 	}
-	plan_charge_running(s);
+	plan_place_around_running(s);
 	plan_place_holds(s, now);
 }
 
@@ -504,7 +504,7 @@
 		p->worker = j->members[p->worker].worker;
 	}
 	hold_place(s, h, pieces);
-	hold_charge_all(s, j, h);
+	hold_charge_pieces(s, j, h);
 	return true;
 }
 
@@ -530,7 +530,7 @@
  * Places holds around running jobs that are not charged to any, starting with jobs that cannot
  * be stopped.
  */
-void plan_charge_running(struct sched *s)
+void plan_place_around_running(struct sched *s)
 {
 	if (count_unplaced(s) == 0)
 		return;
--- a/packages/coordination/sched-private.h
+++ b/packages/coordination/sched-private.h
@@ -64,9 +64,9 @@
 	/* Guaranteed accelerators that their owners do not use. */
 	uint32_t held;
 	uint32_t jobs;
-	int64_t reserved_until;
+	int64_t reserved_job_start;
 	job_ref reserved_for;
-	uint32_t failed_jobs;
+	uint32_t consecutive_failed_jobs;
 	int64_t quarantine_until;
 	int64_t quarantine_length;
 	bool quarantined;
@@ -86,11 +86,11 @@
 
 struct sched_org {
 	char *name;
-	bool present;
+	bool configured;
 	uint32_t quota_accelerators;
 	uint32_t quota_jobs;
 	uint32_t guaranteed;
-	uint32_t running_accelerators;
+	uint32_t allocated_accelerators;
 	uint32_t jobs;
 	/* Guaranteed accelerators on each worker that the organisation does not use. */
 	GArray *unused_guarantee;
@@ -168,7 +168,7 @@
 void hold_place(struct sched *s, struct sched_hold *h, const GArray *pieces);
 void hold_unplace(struct sched *s, struct sched_hold *h);
 void hold_charge(struct sched *s, struct sched_job *j, struct sched_hold *first);
-void hold_charge_all(struct sched *s, struct sched_job *j, struct sched_hold *h);
+void hold_charge_pieces(struct sched *s, struct sched_job *j, struct sched_hold *h);
 void hold_uncharge(struct sched *s, struct sched_job *j);
 void committed_update(struct sched *s, struct sched_job *j);
 void committed_clear(struct sched *s, struct sched_job *j);
@@ -179,9 +179,9 @@
 void plan_worker_down(struct sched *s, int64_t now, uint32_t worker);
 void plan_place_holds(struct sched *s, int64_t now);
 bool plan_move_to_free(struct sched *s, struct sched_hold *h);
-bool plan_start_moving_holds(struct sched *s, int64_t now, struct sched_job *j);
+bool plan_assign_moving_holds(struct sched *s, int64_t now, struct sched_job *j);
 void plan_move_from_unavailable(struct sched *s);
-void plan_charge_running(struct sched *s);
+void plan_place_around_running(struct sched *s);
 void plan_unplace_overcommitted(struct sched *s);
 
 /*
@@ -190,18 +190,18 @@
  *
  * FIT_CHARGED_FREE: unused guarantees of the job's organisation that are physically free.
  * FIT_CHARGED: unused guarantees of the job's organisation, even if borrowers use them.
- * FIT_COMMITTED: free resources that are not needed for any guarantee.
- * FIT_BORROWED: all free resources, including unused guarantees of other organisations.
- * FIT_COMMITTED_AFTER_PREEMPTION and FIT_BORROWED_AFTER_PREEMPTION: the same, with borrowers
+ * FIT_UNCOMMITTED: free resources that are not needed for any guarantee.
+ * FIT_FREE: all free resources, including unused guarantees of other organisations.
+ * FIT_UNCOMMITTED_AFTER_PREEMPTION and FIT_FREE_AFTER_PREEMPTION: the same, with borrowers
  * counted as stopped.
  */
 enum fit_mode {
 	FIT_CHARGED_FREE,
 	FIT_CHARGED,
-	FIT_COMMITTED,
-	FIT_BORROWED,
-	FIT_COMMITTED_AFTER_PREEMPTION,
-	FIT_BORROWED_AFTER_PREEMPTION
+	FIT_UNCOMMITTED,
+	FIT_FREE,
+	FIT_UNCOMMITTED_AFTER_PREEMPTION,
+	FIT_FREE_AFTER_PREEMPTION
 };
 /* A placement, the number of workers considered and the most that one of them could take. */
 struct fit {
@@ -220,7 +220,7 @@
 
 /* sched-claim.c: placement of jobs by preempting borrowers. */
 bool claim_start(struct sched *s, int64_t now, struct sched_job *j);
-bool claim_time_slice(struct sched *s, int64_t now, struct sched_job *j);
+bool claim_outside_guarantee(struct sched *s, int64_t now, struct sched_job *j);
 void claim_finish(struct sched *s, int64_t now);
 
 /* sched-queue.c: order of the queue and the scheduling pass. */
--- a/packages/coordination/sched-queue.c
+++ b/packages/coordination/sched-queue.c
@@ -94,7 +94,7 @@
 		return false;
 	}
 	if (o->quota_accelerators > 0 &&
-		o->running_accelerators + j->accelerators > o->quota_accelerators) {
+		o->allocated_accelerators + j->accelerators > o->quota_accelerators) {
 		j->decision.why = SCHED_REASON_QUOTA;
 		return false;
 	}
@@ -227,7 +227,7 @@
 {
 	uint32_t *capacity = xcalloc(s->workers->len, sizeof(*capacity));
 	GArray *workers = g_array_new(FALSE, TRUE, sizeof(uint32_t));
-	enum fit_mode mode = job_stoppable(j) ? FIT_BORROWED : FIT_COMMITTED;
+	enum fit_mode mode = job_stoppable(j) ? FIT_FREE : FIT_UNCOMMITTED;
 	bool found = false;
 	int64_t when = 0;
 
@@ -257,7 +257,7 @@
 			sched_worker_at(s, g_array_index(workers, uint32_t, i));
 
 		w->reserved_for = j->ref;
-		w->reserved_until = when;
+		w->reserved_job_start = when;
 	}
 	if (found)
 		j->decision.expected_at = when;
@@ -282,7 +282,7 @@
 	bool nonpreemptible = s->policy == SCHED_POLICY_FULL && !job_stoppable(j);
 	struct fit f;
 
-	if (fit_job(s, now, j, nonpreemptible ? FIT_COMMITTED : FIT_BORROWED, NULL, &f)) {
+	if (fit_job(s, now, j, nonpreemptible ? FIT_UNCOMMITTED : FIT_FREE, NULL, &f)) {
 		j->decision = (struct sched_decision){
 			.why = backfill ? SCHED_REASON_BACKFILL : SCHED_REASON_FREE,
 			.at = now,
@@ -291,14 +291,14 @@
 		sched_begin_attempt(s, now, j);
 		return true;
 	}
-	if (nonpreemptible && plan_start_moving_holds(s, now, j)) {
+	if (nonpreemptible && plan_assign_moving_holds(s, now, j)) {
 		j->decision = (struct sched_decision){.why = SCHED_REASON_FREE, .at = now};
 		sched_begin_attempt(s, now, j);
 		return true;
 	}
 	j->decision.why = nonpreemptible ? SCHED_REASON_UNSTOPPABLE : SCHED_REASON_BLOCKED;
 	j->decision.considered = f.considered;
-	j->decision.largest_free = f.largest;
+	j->decision.largest_fit = f.largest;
 	return false;
 }
 
@@ -339,7 +339,7 @@
 			(j->urgent || (!large_blocked && j->accelerators >= LARGE_JOB))) {
 			preemptions++;
 			large_blocked |= !j->urgent;
-			if (claim_time_slice(s, now, j))
+			if (claim_outside_guarantee(s, now, j))
 				continue;
 		}
 		g_hash_table_add(failed, g_memdup2(&hash, sizeof(hash)));
--- a/packages/coordination/sched-view.c
+++ b/packages/coordination/sched-view.c
@@ -83,7 +83,7 @@
 		if (h->org == org && h->placed)
 			out->used_guaranteed += h->accelerators - hold_unused(h);
 	}
-	out->borrowed = o->running_accelerators - out->used_guaranteed;
+	out->borrowed = o->allocated_accelerators - out->used_guaranteed;
 	out->lent = lent_accelerators(s, org);
 	for (guint i = 0; i < s->holds->len; i++) {
 		const struct sched_hold *h = s->holds->pdata[i];
@@ -196,7 +196,7 @@
 		json_integer((j->placed_at > 0 ? j->placed_at : now) / NSEC_PER_MSEC -
 			     j->submitted / NSEC_PER_MSEC));
 	json_object_set_new(o, "workers_considered", json_integer(d->considered));
-	json_object_set_new(o, "largest_fit", json_integer(d->largest_free));
+	json_object_set_new(o, "largest_fit", json_integer(d->largest_fit));
 	json_object_set_new(o, "guarantee_left", json_integer(unused));
 	json_object_set_new(o, "ahead", json_integer(d->jobs_ahead));
 	json_object_set_new(o, "borrowers_stopped", json_integer(d->victims));
--- a/packages/coordination/sched.c
+++ b/packages/coordination/sched.c
@@ -232,7 +232,7 @@
 		w->jobs++;
 		if (w->quarantined)
 			w->probing = true;
-		sched_org_at(s, j->org)->running_accelerators += m->accelerators;
+		sched_org_at(s, j->org)->allocated_accelerators += m->accelerators;
 	}
 	if (charged)
 		hold_charge(s, j, hold);
@@ -255,7 +255,7 @@
 		w->jobs--;
 		if (w->jobs == 0)
 			w->probing = false;
-		sched_org_at(s, j->org)->running_accelerators -= m->accelerators;
+		sched_org_at(s, j->org)->allocated_accelerators -= m->accelerators;
 	}
 	hold_uncharge(s, j);
 	g_ptr_array_remove_fast(s->active, j);
@@ -398,12 +398,12 @@
 				GUINT_TO_POINTER(c->queue_max));
 	}
 	for (uint32_t i = 0; i < s->orgs->len; i++)
-		sched_org_at(s, i)->present = false;
+		sched_org_at(s, i)->configured = false;
 	STAILQ_FOREACH(o, &d->orgs, entry)
 	{
 		struct sched_org *org = sched_org_at(s, find_org(s, o->name));
 
-		org->present = true;
+		org->configured = true;
 		org->quota_accelerators = o->quota_accelerators;
 		org->quota_jobs = o->quota_jobs;
 	}
@@ -457,7 +457,7 @@
 		sched_stop_job(s, j, STOP_NOW, SCHED_STOP_MEMBER_LOST);
 	if (s->policy == SCHED_POLICY_FULL) {
 		plan_unplace_overcommitted(s);
-		plan_charge_running(s);
+		plan_place_around_running(s);
 		plan_place_holds(s, now);
 	}
 	return j->ref;
--- a/packages/coordination/sched.h
+++ b/packages/coordination/sched.h
@@ -92,7 +92,7 @@
 	/* Workers that could be used at all. */
 	uint32_t considered;
 	/* Most accelerators that one of them could take. */
-	uint32_t largest_free;
+	uint32_t largest_fit;
 	uint32_t own_left;
 	/* Borrowers that are stopped for the job. */
 	uint32_t victims;
