--- a/packages/coordination/sched.h
+++ b/packages/coordination/sched.h
@@ -25,7 +25,10 @@
 	SCHED_POLICY_BACKFILL
 };
 
-/* Amounts of the resources of a worker; memory_mb is in MiB. */
+/*
+ * Amounts of the resources of a worker; memory_mb is in MiB. slots is the number of members
+ * that the worker can run at the same time; each member needs one.
+ */
 struct sched_res {
 	int32_t accelerators;
 	int32_t slots;
@@ -55,7 +58,7 @@
 	SCHED_STOP_PREEMPTED,
 	SCHED_STOP_CANCELLED,
 	SCHED_STOP_MEMBER_LOST,
-	SCHED_STOP_RESERVE_FAILED
+	SCHED_STOP_RESERVE_FAILED /* not used */
 };
 
 /* Reason why a job is waiting or was placed. */
@@ -91,8 +94,9 @@
 	int64_t at;
 	/* Workers that could be used at all. */
 	uint32_t considered;
-	/* Most accelerators that one of them could take. */
+	/* Most of the job's accelerators that one of them could take; 0 once it is placed. */
 	uint32_t largest_fit;
+	/* Not used; sched_explain computes the unused guarantee itself. */
 	uint32_t own_left;
 	/* Borrowers that are stopped for the job. */
 	uint32_t victims;
@@ -106,6 +110,7 @@
 	job_ref ref;
 	char *id;
 	uint32_t org;
+	/* Priority of the job's class; the job comes later in the queue the higher it is. */
 	uint32_t class_priority;
 	bool urgent;
 	char *kind;
@@ -119,6 +124,7 @@
 	int64_t declared_run_time;
 	int64_t deadline;
 	int64_t submitted;
+	/* The caller's own record of the job; the scheduler only stores the pointer. */
 	void *owner;
 
 	enum sched_job_state state;
@@ -144,10 +150,13 @@
 	/* Whether the accelerators count against guarantees of the organisation. */
 	bool charged;
 	GArray *charges;
-	/* Whether an earlier attempt may have started, so that the job cannot be called not
-	 * run. */
+	/*
+	 * Whether an attempt that has ended may have started. If set, the end of the job is not
+	 * reported as not_run. sched_adopt sets it for an idempotent job that is not in its
+	 * first attempt.
+	 */
 	bool ran;
-	/* Adopted with some members missing. */
+	/* Taken over from the agents by a new coordinator with some members missing. */
 	bool partial;
 	struct sched_member members[SCHED_MEMBERS_MAX];
 	uint32_t members_len;
@@ -161,7 +170,10 @@
 	SCHED_ACTION_STOP,
 	SCHED_ACTION_END
 };
-/* An action for the caller to carry out; stop and end belong to the kinds of these names. */
+/*
+ * An action for the caller to carry out. stop is set for SCHED_ACTION_STOP and end for
+ * SCHED_ACTION_END; SCHED_ACTION_PLACE uses neither.
+ */
 struct sched_action {
 	enum sched_action_kind kind;
 	job_ref job;
@@ -187,6 +199,7 @@
 	uint64_t preempted;
 	uint64_t claims;
 	uint64_t moved_holds;
+	/* Jobs that ended with not_run: rejected, or cancelled or expired before they ran. */
 	uint64_t refused;
 	uint64_t quarantined;
 };
@@ -223,8 +236,11 @@
 	const char *name;
 	uint32_t guaranteed;
 	uint32_t used_guaranteed;
+	/* Accelerators of its jobs outside its guarantee, also those guaranteed to nobody. */
 	uint32_t borrowed;
+	/* Its unused guaranteed accelerators that borrowers use. */
 	uint32_t lent;
+	/* Guaranteed accelerators of the holds that are not placed. */
 	uint32_t impossible;
 	uint32_t queued;
 };
@@ -236,6 +252,7 @@
 	bool quarantined;
 	struct sched_res capacity;
 	struct sched_res used;
+	/* Guaranteed accelerators that their organisations do not use. */
 	uint32_t promised;
 	uint32_t jobs;
 };
@@ -245,6 +262,7 @@
 	uint32_t free;
 	uint32_t largest_worker;
 	uint32_t largest_rack;
+	/* Time since the submission of the queued job that was submitted first; 0 if none. */
 	int64_t oldest;
 	double fragmentation;
 };
