--- a/packages/coordination/sched-private.h
+++ b/packages/coordination/sched-private.h
@@ -8,10 +8,13 @@
 #define ESTIMATE_DEFAULT (60 * NSEC_PER_SEC)
 
 /*
- * A guaranteed shape of an organisation and the placement reserved for it. The placements of
- * all holds are disjoint, and each consists of accelerators that are free, used by the owner
- * or used by preemptible borrowers. Together the placements thus prove that all guarantees can
- * be met at the same time. stale marks holds that a new configuration has not yet confirmed.
+ * A guaranteed shape of an organisation and the placement reserved for it. A shape is a number
+ * of accelerators together with the adjacency that they must have. The placements of all holds
+ * are disjoint, and each consists of accelerators that are free, used by the organisation that
+ * the guarantee belongs to (its owner) or used by preemptible borrowers. Together the
+ * placements thus prove that all guarantees can be met at the same time. A borrower is a job
+ * that can be stopped and is not charged to any hold. stale marks holds that a new
+ * configuration has not yet confirmed.
  */
 struct sched_hold {
 	uint32_t org;
@@ -23,27 +26,32 @@
 	GArray *pieces;
 };
 
-/* The part of a hold on one worker; used counts the accelerators charged to jobs. */
+/* The part of a hold on one worker; used counts its accelerators that charged jobs occupy. */
 struct hold_piece {
 	uint32_t worker;
 	uint32_t accelerators;
 	uint32_t used;
 };
 
-/* Accelerators of a job that are charged to a hold on one worker. */
+/*
+ * Accelerators of a job that are charged to a hold on one worker: the job occupies as many
+ * accelerators of the hold there, which then no longer count as unused.
+ */
 struct sched_charge {
 	struct sched_hold *hold;
 	uint32_t worker;
 	uint32_t accelerators;
 };
 
+/* Not used; a rack is only a name, see racks in struct sched. */
 struct sched_rack {
 	char *name;
 };
 
 /*
  * A worker. Two invariants hold for each resource: used does not exceed the capacity, and
- * neither does what cannot be reclaimed plus the share of the unused guaranteed accelerators.
+ * neither does committed plus what belongs to the accelerators of held. To each accelerator of
+ * a worker belongs an equal part of its slots, cores and memory (res_share).
  */
 struct sched_worker {
 	char *name;
@@ -61,11 +69,18 @@
 	 * guarantee or the job cannot be stopped.
 	 */
 	struct sched_res committed;
-	/* Guaranteed accelerators that their owners do not use. */
+	/* Guaranteed accelerators that the organisations they belong to do not use. */
 	uint32_t held;
 	uint32_t jobs;
+	/*
+	 * The blocked large job that the worker is reserved for, or JOB_REF_NONE, and when this
+	 * job is expected to start. Outside of guarantees the worker takes only jobs that are
+	 * expected to end before that time. Each scheduling pass clears the reservations and
+	 * makes them anew.
+	 */
 	int64_t reserved_job_start;
 	job_ref reserved_for;
+	/* Jobs that failed here since the last success, without those found faulty. */
 	uint32_t consecutive_failed_jobs;
 	int64_t quarantine_until;
 	int64_t quarantine_length;
@@ -75,8 +90,10 @@
 };
 
 /*
- * Run times of the jobs of one organisation and kind: the sum of the logarithms of actual by
- * declared run time, the number of samples, and the mean run time in seconds.
+ * Run times of the jobs of one organisation and kind: the sum of log(actual run time / declared
+ * run time), the number of samples, and the mean run time in seconds. Above a limit, the number
+ * of samples and the sum are scaled down before each new sample, so that old samples lose
+ * weight; hence the number is a double.
  */
 struct sched_run_time_stats {
 	double log_sum;
@@ -86,11 +103,15 @@
 
 struct sched_org {
 	char *name;
+	/* Whether the current configuration has the organisation; set, but not read. */
 	bool configured;
 	uint32_t quota_accelerators;
 	uint32_t quota_jobs;
 	uint32_t guaranteed;
+	/* Accelerators of all jobs with members, also of those that wait for borrowers to stop.
+	 */
 	uint32_t allocated_accelerators;
+	/* Jobs that have not ended. */
 	uint32_t jobs;
 	/* Guaranteed accelerators on each worker that the organisation does not use. */
 	GArray *unused_guarantee;
@@ -101,15 +122,18 @@
 };
 
 /*
- * The scheduler. class_queue_max limits the jobs per organisation, by class priority. active
- * lists the jobs that have members. shape_demand sums up the accelerators that jobs asked for,
- * by adjacency and job size; demand_above[a][n] is the part of all demand that has adjacency a
- * and a size of more than n.
+ * The scheduler. queue_max limits the jobs of each organisation that have not ended, running
+ * ones included, and class_queue_max those of each class, by class priority. active lists the
+ * jobs that have members. shape_demand sums up the accelerators that jobs asked for, by
+ * adjacency and job size; demand_above[a][n] is the part of all these accelerators that jobs
+ * with adjacency a and a size of more than n asked for.
  */
 struct sched {
 	enum sched_policy policy;
 	GRand *rand;
+	/* Time that a preempted job gets to stop, in nanoseconds. */
 	int64_t grace;
+	/* Weight of the expected run time in the order of the queue: 0 (none) to 1. */
 	double completion_weight;
 	uint32_t queue_max;
 	GHashTable *class_queue_max;
@@ -117,8 +141,10 @@
 	uint32_t declared_workers_per_rack;
 	uint32_t declared_accelerators;
 	bool settling;
+	/* Set when a scheduling pass may place more than the last one; not read. */
 	bool dirty;
 	GPtrArray *workers;
+	/* Names of racks. */
 	GPtrArray *racks;
 	GPtrArray *orgs;
 	GPtrArray *holds;
@@ -186,24 +212,28 @@
 
 /*
  * sched-fit.c: placement of jobs. The modes tell which resources of a worker count as
- * available:
- *
- * FIT_CHARGED_FREE: unused guarantees of the job's organisation that are physically free.
- * FIT_CHARGED: unused guarantees of the job's organisation, even if borrowers use them.
- * FIT_UNCOMMITTED: free resources that are not needed for any guarantee.
- * FIT_FREE: all free resources, including unused guarantees of other organisations.
- * FIT_UNCOMMITTED_AFTER_PREEMPTION and FIT_FREE_AFTER_PREEMPTION: the same, with borrowers
- * counted as stopped.
+ * available.
  */
 enum fit_mode {
+	/* Unused guarantees of the job's organisation that are physically free. */
 	FIT_CHARGED_FREE,
+	/* Unused guarantees of the job's organisation, even if borrowers use them. */
 	FIT_CHARGED,
+	/* Free resources not needed for any guarantee; for jobs that cannot be stopped. */
 	FIT_UNCOMMITTED,
+	/*
+	 * All free resources, including unused guarantees of other organisations; for jobs that
+	 * can be stopped, and for all jobs under the baseline policies.
+	 */
 	FIT_FREE,
+	/* Like the previous two, with borrowers counted as stopped. */
 	FIT_UNCOMMITTED_AFTER_PREEMPTION,
 	FIT_FREE_AFTER_PREEMPTION
 };
-/* A placement, the number of workers considered and the most that one of them could take. */
+/*
+ * A placement, the number of workers considered and the most accelerators of the job that one
+ * of them could take.
+ */
 struct fit {
 	struct sched_member members[SCHED_MEMBERS_MAX];
 	uint32_t len;
@@ -218,7 +248,10 @@
 double fit_fragmentation(const struct sched *s);
 void fit_count_shape(struct sched *s, const struct sched_job *j);
 
-/* sched-claim.c: placement of jobs by preempting borrowers. */
+/*
+ * sched-claim.c: placement of jobs by preempting borrowers, within the guarantee of the job's
+ * organisation (claim_start) or outside it (claim_outside_guarantee).
+ */
 bool claim_start(struct sched *s, int64_t now, struct sched_job *j);
 bool claim_outside_guarantee(struct sched *s, int64_t now, struct sched_job *j);
 void claim_finish(struct sched *s, int64_t now);
