--- a/packages/coordination/sched-claim.c
+++ b/packages/coordination/sched-claim.c
@@ -4,27 +4,32 @@
 #include <string.h>
 
 /*
- * Preemption of borrowers, within the guarantee of an organisation or for a time slice. A job
- * that claims their resources is assigned to the workers at once, so that no other job can be
- * placed there. The borrowers are told to stop, and the job starts when they have stopped. The
- * grace time of a stop bounds the wait.
+ * Preemption of borrowers. A job preempts them within the unused guarantee of its organisation,
+ * or outside of it after it has waited for some time. The job is assigned to their workers at
+ * once, so that no other job can be placed there. The borrowers are told to stop, and the job
+ * starts when they have stopped. A borrower that was stopped is queued again. The grace time of
+ * a stop bounds the wait.
  */
 
 #define RESTART_COST (2 * NSEC_PER_SEC) /* run time lost by any restart */
-/* Minimum wait before a job preempts; minimum run time of a checkpointing job it preempts. */
-#define TIME_SLICE     (60 * NSEC_PER_SEC)
-#define LOSS_RATIO_MAX 0.1 /* of the estimated work of the job that preempts */
-/* Minimum wait and maximum loss for an urgent job that preempts. */
+/*
+ * Preemption outside of guarantees by a job that is not urgent: its minimum time in the queue,
+ * the minimum run time of a borrower that can resume from a checkpoint, and the maximum loss.
+ */
+#define PREEMPT_WAIT_MIN   (60 * NSEC_PER_SEC)
+#define CHECKPOINT_RUN_MIN (60 * NSEC_PER_SEC)
+#define LOSS_RATIO_MAX	   0.1 /* of the estimated work of the job that preempts */
+/* The same minimum time in the queue and maximum loss for an urgent job. */
 #define URGENT_WAIT_MIN (2 * NSEC_PER_SEC)
 #define URGENT_LOSS_MAX 60.0 /* accelerator-seconds */
 
 /*
- * A job that may be preempted, its cost per accelerator released on the worker (negative if the
- * job is stopping already) and the resources that it uses there.
+ * A job that may be preempted, the work lost per accelerator that it releases on the worker, in
+ * seconds (-1 if the job is stopping already), and the resources that it uses there.
  */
 struct victim {
 	struct sched_job *job;
-	double cost;
+	double loss_per_accelerator;
 	struct sched_res used;
 };
 
@@ -49,28 +54,31 @@
 	return (double)lost / (double)NSEC_PER_SEC * MAX(j->accelerators, 1);
 }
 
-/* Orders victims by cost, then the latest first. */
+/* Orders victims by the work lost per accelerator, then the last submitted first. */
 static int compare_victims(const void *a, const void *b)
 {
 	const struct victim *x = a;
 	const struct victim *y = b;
 
-	if (x->cost != y->cost)
-		return x->cost < y->cost ? -1 : 1;
+	if (x->loss_per_accelerator != y->loss_per_accelerator)
+		return x->loss_per_accelerator < y->loss_per_accelerator ? -1 : 1;
 	return x->job->sequence < y->job->sequence ? 1 : -1;
 }
 
-/* Returns whether a job is a borrower that can be stopped or is stopping already. */
+/*
+ * Returns whether a job is a borrower that has resources in use: one that can be stopped and is
+ * not charged to a hold. It may use only accelerators that nobody is guaranteed.
+ */
 static bool is_borrower(const struct sched_job *j)
 {
 	return !j->charged && job_stoppable(j) && j->state != SCHED_JOB_CLAIMING;
 }
 
 /*
- * Returns whether a queued job may preempt a borrower outside any guarantee. Urgent borrowers
- * are not preempted there. A job that is not urgent may preempt as well, so that a gang can
- * replace jobs that were placed while it was blocked, but a borrower that can resume from a
- * checkpoint first gets a time slice.
+ * Returns whether a queued job may preempt a borrower outside the guarantee of its own
+ * organisation. Urgent borrowers are preempted only within that guarantee. A job that is not
+ * urgent may preempt as well, so that a gang can replace jobs that were placed while it was
+ * blocked, but a borrower that can resume from a checkpoint first runs for CHECKPOINT_RUN_MIN.
  */
 static bool may_preempt(const struct sched_job *j, const struct sched_job *v, int64_t now)
 {
@@ -80,12 +88,12 @@
 		return false;
 	if (j->urgent)
 		return true;
-	return !v->checkpoint || now - v->started_at >= TIME_SLICE;
+	return !v->checkpoint || now - v->started_at >= CHECKPOINT_RUN_MIN;
 }
 
 /*
- * Returns the borrowers on a worker, lowest cost per released accelerator first. If preemptor
- * is not NULL, only those that it may preempt outside its guarantee.
+ * Returns the borrowers on a worker, least work lost per released accelerator first. If
+ * preemptor is not NULL, only those that it may preempt outside its guarantee.
  */
 static GArray *list_victims(
 	const struct sched *s, int64_t now, uint32_t worker, const struct sched_job *preemptor)
@@ -101,9 +109,9 @@
 		v.used = job_usage_on(j, worker);
 		if (v.used.slots == 0)
 			continue;
-		v.cost = preemption_loss(j, now) / MAX(v.used.accelerators, 1);
+		v.loss_per_accelerator = preemption_loss(j, now) / MAX(v.used.accelerators, 1);
 		if (j->state == SCHED_JOB_STOPPING)
-			v.cost = -1;
+			v.loss_per_accelerator = -1;
 		g_array_append_val(list, v);
 	}
 	g_array_sort(list, compare_victims);
@@ -120,12 +128,13 @@
 }
 
 /*
- * Adds victims until need fits on a worker, and their cost to cost. Victims chosen for other
- * workers count here as well. Returns false if need does not fit with all borrowers stopped.
+ * Adds victims until need fits on a worker, and the work that they lose to loss. Victims chosen
+ * for other workers count here as well. Returns false if need does not fit with all borrowers
+ * stopped.
  */
 static bool choose_victims(const struct sched *s, int64_t now, uint32_t worker,
 	const struct sched_res *need, const struct sched_job *preemptor, GPtrArray *victims,
-	double *cost)
+	double *loss)
 {
 	struct sched_res available = worker_free(sched_worker_at(s, worker));
 	GArray *list = list_victims(s, now, worker, preemptor);
@@ -143,23 +152,24 @@
 			continue;
 		res_add(&available, &v->used);
 		g_ptr_array_add(victims, v->job);
-		if (v->cost >= 0)
-			*cost += preemption_loss(v->job, now);
+		if (v->loss_per_accelerator >= 0)
+			*loss += preemption_loss(v->job, now);
 	}
 	g_array_unref(list);
 	return res_fits(need, &available);
 }
 
 /*
- * A candidate placement with the jobs that have to be preempted for it and their total cost.
- * If hold is NULL, the placement may extend over several holds.
+ * A candidate placement with the jobs that have to be preempted for it and the work that they
+ * lose, in accelerator-seconds. In mode FIT_CHARGED it is within hold or, if hold is NULL,
+ * within all holds of the organisation; the other modes use no hold.
  */
 struct claim {
 	struct fit fit;
 	enum fit_mode mode;
 	struct sched_hold *hold;
 	GPtrArray *victims;
-	double cost;
+	double total_loss;
 };
 
 /* Adds a member with n accelerators on a worker; returns false if it cannot be placed. */
@@ -176,24 +186,25 @@
 	m->accelerators = n;
 	m->need = res_need(j, n);
 	return choose_victims(s, now, worker, &m->need, c->mode == FIT_CHARGED ? NULL : j,
-		c->victims, &c->cost);
+		c->victims, &c->total_loss);
 }
 
 /* Returns how many accelerators a worker can take; 0 outside the given rack (-1: any rack). */
 static uint32_t claim_fit_count(const struct sched *s, int64_t now, const struct sched_job *j,
 	const struct claim *c, uint32_t w, int rack)
 {
-	const struct sched_worker *at = sched_worker_at(s, w);
+	const struct sched_worker *worker = sched_worker_at(s, w);
 
-	if (!at->up || at->draining || (rack >= 0 && at->rack != (uint32_t)rack) ||
-		!health_allows(at, j, now))
+	if (!worker->up || worker->draining || (rack >= 0 && worker->rack != (uint32_t)rack) ||
+		!health_allows(worker, j, now))
 		return 0;
 	return fit_count(s, j, w, c->mode, c->hold);
 }
 
 /*
  * Tries to place a job on several workers of a rack (-1: any rack). Takes the workers that can
- * take the most accelerators first, and for the last member the one with the fewest to spare.
+ * take the most accelerators first. For the last member, takes the worker that can take the
+ * fewest accelerators of those that can take the whole rest.
  */
 static bool claim_across_workers(const struct sched *s, int64_t now, const struct sched_job *j,
 	int rack, struct claim *c)
@@ -231,10 +242,10 @@
 	return ok;
 }
 
-/* Moves c to best if c is valid and cheaper than best; empties c. */
-static void keep_cheaper(struct claim *best, bool *found, struct claim *c, bool ok)
+/* Moves c to best if c is valid and loses less work than best; empties c. */
+static void keep_smaller_loss(struct claim *best, bool *found, struct claim *c, bool ok)
 {
-	if (ok && (!*found || c->cost < best->cost)) {
+	if (ok && (!*found || c->total_loss < best->total_loss)) {
 		GPtrArray *old = best->victims;
 
 		*best = *c;
@@ -242,15 +253,15 @@
 		*found = true;
 	}
 	g_ptr_array_set_size(c->victims, 0);
-	c->cost = 0;
+	c->total_loss = 0;
 	c->fit.len = 0;
 }
 
 /*
- * Finds the cheapest placement within c->hold, or within all holds if it is NULL. Considers
- * several workers only if no single worker can take the job.
+ * Finds the placement with the smallest loss of work in the mode of c, see struct claim.
+ * Considers several workers only if no single worker can take the job.
  */
-static void find_cheapest(struct sched *s, int64_t now, const struct sched_job *j,
+static void find_smallest_loss(struct sched *s, int64_t now, const struct sched_job *j,
 	struct claim *c, struct claim *best, bool *found)
 {
 	bool fits_one_worker = false;
@@ -259,14 +270,14 @@
 		if (claim_fit_count(s, now, j, c, w, -1) < MAX(j->accelerators, 1u))
 			continue;
 		fits_one_worker = true;
-		keep_cheaper(best, found, c, add_member(s, now, j, c, w, j->accelerators));
+		keep_smaller_loss(best, found, c, add_member(s, now, j, c, w, j->accelerators));
 	}
 	if (fits_one_worker || j->accelerators < 2)
 		return;
 	for (uint32_t r = 0; j->adjacency != ADJACENCY_WORKER && r < s->racks->len; r++)
-		keep_cheaper(best, found, c, claim_across_workers(s, now, j, (int)r, c));
+		keep_smaller_loss(best, found, c, claim_across_workers(s, now, j, (int)r, c));
 	if (!*found && j->adjacency == ADJACENCY_ANY)
-		keep_cheaper(best, found, c, claim_across_workers(s, now, j, -1, c));
+		keep_smaller_loss(best, found, c, claim_across_workers(s, now, j, -1, c));
 }
 
 /* Starts a job on resources that are free. */
@@ -309,7 +320,11 @@
 	return true;
 }
 
-/* Assigns a job to its workers and stops the borrowers there; the job waits for them. */
+/*
+ * Assigns a job to its workers and stops the borrowers there; the job waits for them. The
+ * recorded reason SCHED_REASON_CLAIM and the counter claims cover preemption within and outside
+ * of guarantees.
+ */
 static void preempt_and_wait(
 	struct sched *s, int64_t now, struct sched_job *j, const struct claim *c)
 {
@@ -367,7 +382,10 @@
 	return to;
 }
 
-/* Starts a job if a placement was found: without preemption if it fits elsewhere. */
+/*
+ * Starts a job if a placement by preemption was found: without preemption and uncharged if the
+ * job fits outside its guarantee, otherwise on the placement found.
+ */
 static bool apply_claim(
 	struct sched *s, int64_t now, struct sched_job *j, const struct claim *best, bool found)
 {
@@ -397,7 +415,7 @@
 			started = start_in_hold(s, now, j, list->pdata[i]);
 		for (guint i = from; !started && i < to; i++) {
 			c.hold = list->pdata[i];
-			find_cheapest(s, now, j, &c, best, &found);
+			find_smallest_loss(s, now, j, &c, best, &found);
 		}
 		started = started || apply_claim(s, now, j, best, found);
 	}
@@ -414,7 +432,7 @@
 	bool started = start_in_hold(s, now, j, NULL);
 
 	if (!started)
-		find_cheapest(s, now, j, &c, best, &found);
+		find_smallest_loss(s, now, j, &c, best, &found);
 	g_ptr_array_unref(c.victims);
 	return started || apply_claim(s, now, j, best, found);
 }
@@ -433,9 +451,10 @@
 }
 
 /*
- * Preempts borrowers for a job that has been queued for a time slice, or for URGENT_WAIT_MIN if
- * it is urgent, and if the work lost is small. Gangs that do not all fit at once thus share the
- * workers in time slices instead of waiting for the longest of them to end.
+ * Preempts borrowers outside the guarantee of the job's organisation for a job that has been
+ * queued for PREEMPT_WAIT_MIN, or for URGENT_WAIT_MIN if it is urgent, and if the work lost is
+ * small. Gangs that do not all fit at once thus take turns on the workers instead of waiting
+ * for the longest of them to end.
  */
 bool claim_outside_guarantee(struct sched *s, int64_t now, struct sched_job *j)
 {
@@ -447,9 +466,9 @@
 	double loss_max = j->urgent ? URGENT_LOSS_MAX : LOSS_RATIO_MAX * estimated_work;
 	bool found = false;
 
-	if (now - j->queued_at >= (j->urgent ? URGENT_WAIT_MIN : TIME_SLICE))
-		find_cheapest(s, now, j, &c, &best, &found);
-	found = found && best.cost <= loss_max;
+	if (now - j->queued_at >= (j->urgent ? URGENT_WAIT_MIN : PREEMPT_WAIT_MIN))
+		find_smallest_loss(s, now, j, &c, &best, &found);
+	found = found && best.total_loss <= loss_max;
 	if (found)
 		preempt_and_wait(s, now, j, &best);
 	g_ptr_array_unref(c.victims);
