--- a/packages/coordination/sched.c
+++ b/packages/coordination/sched.c
@@ -4,12 +4,14 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define FAILURES_MAX	3 /* failed attempts of an idempotent job */
-#define BACKOFF_BASE	NSEC_PER_SEC
-#define BACKOFF_MAX	(60 * NSEC_PER_SEC)
-#define RESERVE_BACKOFF (200 * NSEC_PER_MSEC)
-#define SHAPES_KEPT	1000
-#define RETRY_LATER_S	5
+#define FAILURES_MAX 3 /* failed attempts of an idempotent job */
+#define BACKOFF_BASE NSEC_PER_SEC
+#define BACKOFF_MAX  (60 * NSEC_PER_SEC)
+/* Delay before a job is tried again after an attempt of which no member started. */
+#define NOT_STARTED_BACKOFF (200 * NSEC_PER_MSEC)
+/* Not used. */
+#define SHAPES_KEPT   1000
+#define RETRY_LATER_S 5
 
 /* Frees a worker. */
 static void free_worker(void *p)
@@ -138,7 +140,7 @@
 	return SCHED_WORKER_NONE;
 }
 
-/* Reads the declared topology of our cell from the configuration. */
+/* Reads the declared topology of the cell with the given name from the configuration. */
 static void set_topology(struct sched *s, const struct doc *d, const char *cell)
 {
 	const struct doc_cell *c;
@@ -160,19 +162,19 @@
  */
 uint32_t sched_worker_up(struct sched *s, int64_t now, const struct sched_worker_spec *spec)
 {
-	uint32_t at = sched_find_worker(s, spec->name);
+	uint32_t index = sched_find_worker(s, spec->name);
 	struct sched_worker *w;
 
-	if (at == SCHED_WORKER_NONE) {
+	if (index == SCHED_WORKER_NONE) {
 		w = xcalloc(1, sizeof(*w));
 		w->name = xstrdup(spec->name);
 		w->reserved_for = JOB_REF_NONE;
 		g_ptr_array_add(s->workers, w);
-		at = s->workers->len - 1;
+		index = s->workers->len - 1;
 	}
-	w = sched_worker_at(s, at);
+	w = sched_worker_at(s, index);
 	if (w->up && !res_equal(&w->capacity, &spec->capacity))
-		sched_worker_down(s, now, at);
+		sched_worker_down(s, now, index);
 	w->rack = find_rack(s, spec->rack);
 	w->capacity = spec->capacity;
 	w->up = true;
@@ -180,7 +182,7 @@
 	s->dirty = true;
 	if (s->policy == SCHED_POLICY_FULL)
 		plan_place_holds(s, now);
-	return at;
+	return index;
 }
 
 /*
@@ -418,6 +420,7 @@
 {
 	struct sched_job *j = add_job(s, now, spec, owner);
 
+	/* The job is in no queue yet; in state QUEUED, sched_end would remove it from one. */
 	j->state = SCHED_JOB_STOPPING;
 	if (!admit_job(s, j))
 		return j->ref;
@@ -428,8 +431,9 @@
 }
 
 /*
- * Adds a job that is already running, as reported by the agents to a new coordinator. The job
- * is stopped if some of its members are missing.
+ * Adopts a job: adds one that is already running, as reported by the agents to a new
+ * coordinator. The job is stopped if some of its members are missing. Its recorded reason is
+ * SCHED_REASON_FREE, as the reason for which it was placed is not known.
  */
 job_ref sched_adopt(struct sched *s, int64_t now, const struct job_spec *spec, void *owner,
 	uint32_t attempt, const struct sched_member *members, uint32_t len, int64_t running)
@@ -519,7 +523,11 @@
 	queue_add(s, now, j);
 }
 
-/* Records that an attempt was withdrawn before any member could start. */
+/*
+ * Records that an attempt was withdrawn before any member could start, for example because an
+ * agent refused the reservation of resources for a member. Unless the job was cancelled, it is
+ * queued again. Reservations of workers for blocked jobs (reserved_for) are unrelated.
+ */
 void sched_reserve_failed(struct sched *s, int64_t now, job_ref job, uint32_t attempt)
 {
 	struct sched_job *j = sched_job(s, job);
@@ -532,7 +540,7 @@
 		sched_end(s, j, OUTCOME_CANCELLED, ERR_CANCELLED, !j->ran,
 			"cancelled before it started");
 	else
-		requeue(s, now, j, RESERVE_BACKOFF);
+		requeue(s, now, j, NOT_STARTED_BACKOFF);
 }
 
 /* Number of members of an attempt by how they ended; open ones have not ended. */
@@ -587,7 +595,7 @@
 	const struct member_ends *e, uint32_t size)
 {
 	if (e->never_started == size && !j->partial) {
-		requeue(s, now, j, RESERVE_BACKOFF);
+		requeue(s, now, j, NOT_STARTED_BACKOFF);
 		return;
 	}
 	if (!j->idempotent && (e->lost > 0 || j->partial)) {
@@ -624,6 +632,7 @@
 	if (e.never_started < size || j->partial)
 		j->ran = true;
 	sched_release(s, j);
+	/* ERR_INTERNAL is a placeholder, as there is no error kind for success. */
 	if (done)
 		sched_end(s, j, OUTCOME_DONE, ERR_INTERNAL, false, "done");
 	else if (j->cancel_wanted)
@@ -635,8 +644,9 @@
 
 /*
  * Records the end of a member. Repeated reports and reports on other attempts are ignored. If
- * the member did not succeed, the others are stopped, as a gang runs with all of its members or
- * not at all.
+ * the member did not succeed, whether lost, failed, stopped or never started, the others are
+ * stopped with the reason SCHED_STOP_MEMBER_LOST, as a gang runs with all of its members or not
+ * at all.
  */
 void sched_member_ended(struct sched *s, int64_t now, job_ref job, uint32_t attempt,
 	uint32_t member, enum member_end end, int64_t saved)
@@ -741,7 +751,10 @@
 	return (size_t)g_tree_nnodes(s->queue);
 }
 
-/* Returns the number of jobs that have resources allocated. */
+/*
+ * Returns the number of jobs that have resources allocated: those that wait for borrowers to
+ * stop, are starting, run or are stopping.
+ */
 size_t sched_running_count(const struct sched *s)
 {
 	return s->active->len;
