--- a/packages/coordination/sched-queue.c
+++ b/packages/coordination/sched-queue.c
@@ -10,9 +10,11 @@
  * job starves.
  */
 
-#define STRETCH_MAX	   10.0 /* run times added to the key at a completion weight of 1 */
+/* Multiple of the expected run time that is added to the key at a completion weight of 1. */
+#define STRETCH_MAX	   10.0
 #define PRIORITY_STEP	   (30 * NSEC_PER_SEC) /* added to the key per class priority */
-#define ATTEMPTS_MAX	   400		       /* jobs tried in a pass */
+#define ATTEMPTS_MAX	   400		       /* jobs in a pass that are tried to be placed */
+#define JOBS_VISITED_MAX   (ATTEMPTS_MAX * 4)  /* queued jobs looked at in a pass */
 #define CLAIM_ATTEMPTS_MAX 64 /* queued jobs of an organisation looked at in a pass */
 #define RESERVATIONS_MAX   3  /* in a pass */
 #define PREEMPTIONS_MAX	   8  /* jobs in a pass that may try to preempt others */
@@ -126,7 +128,7 @@
 static void claim_guarantees(struct sched *s, int64_t now, uint32_t org)
 {
 	uint32_t unused = org_unused_total(s, org);
-	uint32_t smallest_failed = UINT32_MAX;
+	uint32_t smallest_unplaced = UINT32_MAX;
 	GPtrArray *list;
 
 	if (unused == 0)
@@ -136,19 +138,20 @@
 		struct sched_job *j = list->pdata[i];
 
 		if (j->accelerators == 0 || j->accelerators > unused ||
-			(j->accelerators >= smallest_failed) || !is_eligible(s, now, j))
+			(j->accelerators >= smallest_unplaced) || !is_eligible(s, now, j))
 			continue;
 		if (claim_start(s, now, j))
 			unused = org_unused_total(s, org);
 		else if (j->adjacency == ADJACENCY_ANY)
-			smallest_failed = MIN(smallest_failed, j->accelerators);
+			smallest_unplaced = MIN(smallest_unplaced, j->accelerators);
 	}
 	g_ptr_array_unref(list);
 }
 
 /*
- * Returns a hash that is equal for jobs with the same placement requirements. Run times are
- * compared by their power of two.
+ * Returns a hash that is equal for jobs with the same placement requirements. Of the expected
+ * run time, in nanoseconds, only the number of bits counts, so times within a power of two are
+ * equal.
  */
 static uint64_t placement_hash(const struct sched_job *j)
 {
@@ -162,7 +165,7 @@
 
 /* Expected end of a running job. */
 struct expected_end {
-	int64_t at;
+	int64_t time;
 	const struct sched_job *job;
 };
 
@@ -171,8 +174,8 @@
 	const struct expected_end *x = a;
 	const struct expected_end *y = b;
 
-	if (x->at != y->at)
-		return x->at < y->at ? -1 : 1;
+	if (x->time != y->time)
+		return x->time < y->time ? -1 : 1;
 	return x->job->sequence < y->job->sequence ? -1 : x->job->sequence > y->job->sequence;
 }
 
@@ -183,7 +186,7 @@
 
 	for (guint i = 0; i < s->active->len; i++) {
 		const struct sched_job *j = s->active->pdata[i];
-		struct expected_end e = {.at = learn_expected_end(j, now), .job = j};
+		struct expected_end e = {.time = learn_expected_end(j, now), .job = j};
 
 		g_array_append_val(list, e);
 	}
@@ -192,18 +195,19 @@
 }
 
 /*
- * Returns whether a job would fit on workers with the given capacities, using the worker at or
- * others within its adjacency. Fills in the workers that it would use.
+ * Returns whether a job would fit on workers with the given capacities: on the worker with the
+ * index candidate alone or, as far as the job's adjacency allows, on the workers of its rack or
+ * of the cell. Fills in the workers that it would use.
  */
 static bool capacities_suffice(const struct sched *s, const struct sched_job *j,
-	const uint32_t *capacity, uint32_t at, GArray *workers)
+	const uint32_t *capacity, uint32_t candidate, GArray *workers)
 {
-	uint32_t rack = sched_worker_at(s, at)->rack;
+	uint32_t rack = sched_worker_at(s, candidate)->rack;
 	uint32_t sum = 0;
 
 	g_array_set_size(workers, 0);
-	if (capacity[at] >= j->accelerators) {
-		g_array_append_val(workers, at);
+	if (capacity[candidate] >= j->accelerators) {
+		g_array_append_val(workers, candidate);
 		return true;
 	}
 	if (j->adjacency == ADJACENCY_WORKER)
@@ -232,10 +236,10 @@
 	int64_t when = 0;
 
 	for (uint32_t w = 0; w < s->workers->len; w++) {
-		const struct sched_worker *at = sched_worker_at(s, w);
+		const struct sched_worker *worker = sched_worker_at(s, w);
 
-		if (at->up && !at->draining && !at->quarantined &&
-			at->reserved_for == JOB_REF_NONE)
+		if (worker->up && !worker->draining && !worker->quarantined &&
+			worker->reserved_for == JOB_REF_NONE)
 			capacity[w] = fit_count(s, j, w, mode, NULL);
 	}
 	for (guint i = 0; !found && i < ends->len; i++) {
@@ -243,13 +247,14 @@
 
 		for (uint32_t m = 0; !found && m < e->job->members_len; m++) {
 			uint32_t w = e->job->members[m].worker;
-			const struct sched_worker *at = sched_worker_at(s, w);
+			const struct sched_worker *worker = sched_worker_at(s, w);
 
-			if (!at->up || at->draining || at->reserved_for != JOB_REF_NONE)
+			if (!worker->up || worker->draining ||
+				worker->reserved_for != JOB_REF_NONE)
 				continue;
 			capacity[w] += e->job->members[m].accelerators;
 			found = capacities_suffice(s, j, capacity, w, workers);
-			when = e->at;
+			when = e->time;
 		}
 	}
 	for (guint i = 0; found && i < workers->len; i++) {
@@ -304,14 +309,15 @@
 
 /*
  * Goes through the queue in order and places the jobs that fit. A job with the same
- * requirements as one that failed is skipped. Blocked jobs that are urgent, and the first large
- * one, may preempt others; blocked large jobs get reservations. The FIFO policy stops at the
- * first blocked job.
+ * requirements as one that found no place in this pass (a blocked job) is skipped. Blocked jobs
+ * that are urgent, and the first large one, may preempt others; blocked large jobs get
+ * reservations. The FIFO policy stops at the first blocked job. ATTEMPTS_MAX limits the jobs
+ * that are tried, JOBS_VISITED_MAX those that are tried or skipped.
  */
 static void place_in_order(struct sched *s, int64_t now)
 {
-	GPtrArray *list = copy_queue(s->queue, ATTEMPTS_MAX * 4);
-	GHashTable *failed = g_hash_table_new_full(g_int64_hash, g_int64_equal, free, NULL);
+	GPtrArray *list = copy_queue(s->queue, JOBS_VISITED_MAX);
+	GHashTable *blocked = g_hash_table_new_full(g_int64_hash, g_int64_equal, free, NULL);
 	GArray *ends = NULL;
 	uint32_t reservations = 0;
 	uint32_t preemptions = 0;
@@ -326,7 +332,7 @@
 		j->decision.jobs_ahead = i;
 		if (!is_eligible(s, now, j))
 			continue;
-		if (g_hash_table_contains(failed, &hash)) {
+		if (g_hash_table_contains(blocked, &hash)) {
 			j->decision.why = SCHED_REASON_BEHIND;
 			continue;
 		}
@@ -342,7 +348,7 @@
 			if (claim_outside_guarantee(s, now, j))
 				continue;
 		}
-		g_hash_table_add(failed, g_memdup2(&hash, sizeof(hash)));
+		g_hash_table_add(blocked, g_memdup2(&hash, sizeof(hash)));
 		if (s->policy == SCHED_POLICY_FULL && reservations < RESERVATIONS_MAX &&
 			j->accelerators >= LARGE_JOB) {
 			if (ends == NULL)
@@ -353,7 +359,7 @@
 	}
 	if (ends != NULL)
 		g_array_unref(ends);
-	g_hash_table_destroy(failed);
+	g_hash_table_destroy(blocked);
 	g_ptr_array_unref(list);
 }
 
