--- a/packages/coordination/sched-fit.c
+++ b/packages/coordination/sched-fit.c
@@ -6,8 +6,9 @@
 /*
  * Fragmentation is measured as in Weng et al., "Beware of Fragmentation: Scheduling
  * GPU-Sharing Workloads with Fragmentation Gradient Descent" (USENIX ATC 2023): the expected
- * share of free accelerators that a job drawn from the workload cannot use. Jobs are weighted
- * by the number of accelerators that they request. We extend the measure from nodes to racks: a
+ * number of free accelerators that a job drawn from the workload cannot use, divided by the
+ * number of all accelerators of workers that are up. Jobs are weighted by the number of
+ * accelerators that they request. The measure is extended from nodes to racks: a
  * shape with worker adjacency cannot use the free accelerators of a worker that has too few of
  * them, and a shape with rack adjacency cannot use those of a rack that has too few. Among the
  * possible placements, the one that increases this measure least is chosen.
@@ -69,8 +70,8 @@
 
 /*
  * Returns how many of a job's accelerators a worker can take. The charged modes are limited to
- * the given hold, or to all holds of the job's organisation if it is NULL. The cleared modes
- * count the resources that borrowers use as free.
+ * the given hold, or to all holds of the job's organisation if hold is NULL. The modes after
+ * preemption count the resources that borrowers use as free.
  */
 uint32_t fit_count(const struct sched *s, const struct sched_job *j, uint32_t worker,
 	enum fit_mode mode, const struct sched_hold *hold)
@@ -142,7 +143,10 @@
 	decay_shape_demand(s, sum);
 }
 
-/* Returns the part of all demand that has an adjacency and more than n accelerators. */
+/*
+ * Returns the part of all requested accelerators that was requested by jobs with an adjacency
+ * and a size of more than n accelerators.
+ */
 static double demand_part_above(const struct sched *s, enum adjacency a, uint32_t n)
 {
 	return n > JOB_ACCELERATORS_MAX ? 0 : s->demand_above[a][n];
@@ -343,7 +347,10 @@
 	return ok;
 }
 
-/* Returns the fragmentation of the cell: unusable free accelerators by all accelerators. */
+/*
+ * Returns the fragmentation of the cell: the expected number of unusable free accelerators
+ * divided by all accelerators of the workers that are up.
+ */
 double fit_fragmentation(const struct sched *s)
 {
 	uint32_t *rack_free = xcalloc(s->racks->len, sizeof(*rack_free));
