--- a/packages/coordination/sched-admit.c
+++ b/packages/coordination/sched-admit.c
@@ -49,23 +49,27 @@
 
 /*
  * Returns whether a job that cannot be stopped would not fit even into an empty cell, because
- * too much of the cell is guaranteed to other organisations. A job that cannot be charged to
- * its own organisation's guarantee must not use that one either.
+ * too much of the cell is guaranteed to other organisations. A job cannot be charged to a
+ * guarantee if it has no accelerators or needs more of the other resources per accelerator than
+ * belong to an accelerator on any worker; such a job must not use the guarantee of its own
+ * organisation either.
  */
 static bool is_excluded_by_guarantees(const struct sched *s, const struct sched_job *j)
 {
 	const struct sched_org *o = sched_org_at(s, j->org);
 	uint32_t others = guaranteed_to_others(s, j->org);
 	uint32_t all = topology_max(s, ADJACENCY_ANY);
+	/* A job without accelerators needs the other resources of an unguaranteed one. */
+	uint32_t unguaranteed_min = j->accelerators == 0 ? 1 : 0;
 
 	if (s->policy != SCHED_POLICY_FULL || s->declared_workers == 0 || job_stoppable(j))
 		return false;
 	if (j->accelerators == 0 || !share_covers_somewhere(s, j))
-		return j->accelerators + o->guaranteed + others > all - (j->accelerators == 0);
+		return j->accelerators + o->guaranteed + others > all - unguaranteed_min;
 	return j->accelerators > o->guaranteed && j->accelerators + others > all;
 }
 
-/* Returns whether a job is admitted; a job that is not has been ended. */
+/* Returns whether a job is admitted; ends the job if it is not. */
 bool admit_job(struct sched *s, struct sched_job *j)
 {
 	const struct sched_org *o = sched_org_at(s, j->org);
@@ -101,7 +105,11 @@
 	return false;
 }
 
-/* Ends the queued jobs that can never run under a new configuration. */
+/*
+ * Ends the queued jobs that can never run under a new configuration because too much is
+ * guaranteed to other organisations. Quotas, queue limits and the declared topology are not
+ * checked again.
+ */
 void admit_recheck_queued(struct sched *s)
 {
 	g_autoptr(GPtrArray) excluded = g_ptr_array_new();
