--- a/packages/coordination/sched-hold.c
+++ b/packages/coordination/sched-hold.c
@@ -190,7 +190,10 @@
 	}
 }
 
-/* Charges a job for a hold that was placed within it. */
+/*
+ * Charges accelerators of a job to a hold that was placed entirely on accelerators that the job
+ * occupies.
+ */
 void hold_charge_pieces(struct sched *s, struct sched_job *j, struct sched_hold *h)
 {
 	if (j->charges == NULL)
@@ -287,7 +290,8 @@
 }
 
 /*
- * Removes all charges to a hold. A job that was waiting for borrowers to stop is queued again.
+ * Removes all charges to a hold. A job that was waiting for borrowers to stop is queued again,
+ * as of the time when it began to wait.
  * A job without any remaining charge becomes a borrower and can be preempted if it is
  * stoppable.
  */
