--- a/packages/coordination/sched-check.c
+++ b/packages/coordination/sched-check.c
@@ -20,12 +20,12 @@
 
 		for (uint32_t m = 0; m < j->members_len; m++) {
 			const struct sched_member *member = &j->members[m];
-			struct job_totals *at = &totals[member->worker];
+			struct job_totals *total = &totals[member->worker];
 
-			at->jobs++;
-			res_add(j->state == SCHED_JOB_CLAIMING ? &at->pending : &at->used,
+			total->jobs++;
+			res_add(j->state == SCHED_JOB_CLAIMING ? &total->pending : &total->used,
 				&member->need);
-			res_add(&at->committed, &member->committed);
+			res_add(&total->committed, &member->committed);
 		}
 	}
 	return totals;
@@ -80,7 +80,7 @@
 	return out;
 }
 
-/* Returns the accelerators that jobs are charged for a hold on a worker. */
+/* Returns the accelerators of jobs that are charged to a hold on a worker. */
 static uint32_t charged_on(const struct sched *s, const struct sched_hold *h, uint32_t worker)
 {
 	uint32_t sum = 0;
