--- a/packages/coordination/sched-learn.c
+++ b/packages/coordination/sched-learn.c
@@ -6,8 +6,9 @@
 /*
  * Declared run times are wrong by a factor of up to ten in either direction. For each
  * organisation and kind of job, estimates are corrected by the mean logarithm of the ratio of
- * actual to declared run time. One additional sample of 0 and a limit on each ratio keep single
- * samples from dominating, while a few are enough to improve the estimates.
+ * actual to declared run time. One additional sample with a ratio of 1 (logarithm 0) and a
+ * limit on each ratio keep single samples from dominating, while a few are enough to improve
+ * the estimates.
  */
 
 #define RATIO_MAX     20.0
