--- a/packages/coordination/sched-plan.c
+++ b/packages/coordination/sched-plan.c
@@ -3,6 +3,12 @@
 #include <stdlib.h>
 #include <string.h>
 
+/*
+ * Index for a shape that is packed alone: pack_one only writes it into the allocations, where
+ * it is not read here.
+ */
+#define SHAPE_INDEX_UNUSED 0
+
 /* Returns how many more accelerators of a worker can be reserved for holds. */
 static uint32_t holdable_accelerators(const struct sched_worker *w)
 {
@@ -51,15 +57,16 @@
 
 /*
  * Packs the remaining accelerators of a hold into the given capacities and places the hold
- * there. pieces holds those that are packed already.
+ * there. pieces lists the accelerators of the hold that are assigned to workers already.
  */
 static bool pack_remaining(struct sched *s, struct sched_hold *h, uint32_t remaining,
 	GArray *capacities, GArray *pieces)
 {
 	struct pack_shape shape = {remaining, h->adjacency};
 
-	if (remaining > 0 && !pack_one(&shape, 0, (struct pack_worker *)capacities->data,
-				     capacities->len, pieces))
+	if (remaining > 0 &&
+		!pack_one(&shape, SHAPE_INDEX_UNUSED, (struct pack_worker *)capacities->data,
+			capacities->len, pieces))
 		return false;
 	hold_place(s, h, pieces);
 	return true;
@@ -90,7 +97,7 @@
 
 	for (guint i = 0; i < h->pieces->len; i++) {
 		const struct hold_piece *p = hold_piece_at(h, i);
-		struct pack_allocation piece = {0, p->worker, p->accelerators};
+		struct pack_allocation piece = {SHAPE_INDEX_UNUSED, p->worker, p->accelerators};
 
 		g_array_append_val(saved, piece);
 	}
@@ -187,8 +194,10 @@
 
 /*
  * Assigns a job that cannot be stopped to workers that unused holds occupy, and places these
- * holds anew. A hold of the job's own organisation may be placed around the job. Returns false
- * and changes nothing if more holds than before would be left without a placement.
+ * holds anew; the caller starts the job. A hold of the job's own organisation may be placed
+ * around the job, that is, on the accelerators of the job and, if it is larger, on others.
+ * Returns false and changes nothing if more holds than before would be left without a
+ * placement.
  */
 bool plan_assign_moving_holds(struct sched *s, int64_t now, struct sched_job *j)
 {
@@ -248,8 +257,8 @@
 }
 
 /*
- * Unplaces holds on overcommitted workers until they no longer are: unused holds first, then
- * the others.
+ * Unplaces holds on overcommitted workers until these workers are not overcommitted any more:
+ * unused holds first, then the others.
  */
 void plan_unplace_overcommitted(struct sched *s)
 {
@@ -266,7 +275,7 @@
 	}
 }
 
-/* Returns a hold of the old document that equals a shape of the new one, or NULL. */
+/* Returns a hold of the old configuration that equals a shape of the new one, or NULL. */
 static struct sched_hold *match_hold(
 	struct sched *s, uint32_t org, const struct doc_guarantee *g)
 {
@@ -295,7 +304,7 @@
 	}
 }
 
-/* Replaces the holds by those of a new document; unchanged holds keep their placement. */
+/* Replaces the holds by those of a new configuration; unchanged holds keep their placement. */
 void plan_set_holds(struct sched *s, int64_t now, const struct doc *d)
 {
 	const struct doc_org *o;
@@ -382,7 +391,7 @@
 	return false;
 }
 
-/* Returns whether a hold that is not placed can be placed around a job. */
+/* Returns whether a hold is not placed and can be placed so that it includes a whole job. */
 static bool can_include_job(
 	const struct sched *s, const struct sched_hold *h, const struct sched_job *j)
 {
@@ -422,7 +431,7 @@
 		const struct sched_member *m = &j->members[i];
 		struct pack_worker *p =
 			&g_array_index(capacities, struct pack_worker, m->worker);
-		struct pack_allocation piece = {0, m->worker, m->accelerators};
+		struct pack_allocation piece = {SHAPE_INDEX_UNUSED, m->worker, m->accelerators};
 
 		if (p->free < m->accelerators)
 			return false;
@@ -432,7 +441,10 @@
 	return true;
 }
 
-/* Clears the capacities of workers that are not within the hold's adjacency of a worker. */
+/*
+ * Clears the capacities of workers that, by the hold's adjacency, cannot be in one hold with
+ * the given worker.
+ */
 static void keep_adjacent(
 	const struct sched *s, const struct sched_hold *h, uint32_t worker, GArray *capacities)
 {
@@ -447,7 +459,10 @@
 	}
 }
 
-/* Places a hold around a job and charges the job to it. */
+/*
+ * Places a hold on the accelerators of a job and, if it is larger, on others, and charges the
+ * job to it.
+ */
 static bool place_around_job(struct sched *s, struct sched_hold *h, struct sched_job *j)
 {
 	g_autoptr(GArray) pieces = g_array_new(FALSE, TRUE, sizeof(struct pack_allocation));
@@ -481,7 +496,7 @@
 	return n;
 }
 
-/* Places a hold that is smaller than a job within it and charges the job to it. */
+/* Places a hold entirely on uncharged accelerators of a job and charges these to it. */
 static bool place_inside_job(struct sched *s, struct sched_hold *h, struct sched_job *j)
 {
 	g_autoptr(GArray) capacities = g_array_new(FALSE, TRUE, sizeof(struct pack_worker));
@@ -495,8 +510,8 @@
 		g_array_append_val(capacities, p);
 	}
 	if (h->placed || h->org != j->org ||
-		!pack_one(&shape, 0, (struct pack_worker *)capacities->data, capacities->len,
-			pieces))
+		!pack_one(&shape, SHAPE_INDEX_UNUSED, (struct pack_worker *)capacities->data,
+			capacities->len, pieces))
 		return false;
 	for (guint i = 0; i < pieces->len; i++) {
 		struct pack_allocation *p = &g_array_index(pieces, struct pack_allocation, i);
@@ -509,8 +524,9 @@
 }
 
 /*
- * Places a hold around a job or, if there is none and the job cannot be stopped, smaller ones
- * within it.
+ * Charges a job to a hold of its organisation that is not placed yet and that can include the
+ * whole job, by placing the hold around the job. If there is none and the job cannot be
+ * stopped, places smaller holds on accelerators of the job.
  */
 static void charge_to_any(struct sched *s, struct sched_job *j)
 {
@@ -527,8 +543,8 @@
 }
 
 /*
- * Places holds around running jobs that are not charged to any, starting with jobs that cannot
- * be stopped.
+ * Places the holds that are not placed around running jobs that are not charged to any hold,
+ * starting with jobs that cannot be stopped.
  */
 void plan_place_around_running(struct sched *s)
 {
