--- a/packages/coordination/sched-admit.c
+++ b/packages/coordination/sched-admit.c
@@ -59,13 +59,16 @@
 	const struct sched_org *o = sched_org_at(s, j->org);
 	uint32_t others = guaranteed_to_others(s, j->org);
 	uint32_t all = topology_max(s, ADJACENCY_ANY);
-	/* A job without accelerators needs the other resources of an unguaranteed one. */
-	uint32_t unguaranteed_min = j->accelerators == 0 ? 1 : 0;
 
 	if (s->policy != SCHED_POLICY_FULL || s->declared_workers == 0 || job_stoppable(j))
 		return false;
+	/*
+	 * Only accelerators that nobody is guaranteed count here. A job without accelerators
+	 * needs the other resources of one of them.
+	 */
 	if (j->accelerators == 0 || !share_covers_somewhere(s, j))
-		return j->accelerators + o->guaranteed + others > all - unguaranteed_min;
+		return j->accelerators + o->guaranteed + others >
+		       all - (j->accelerators == 0 ? 1 : 0);
 	return j->accelerators > o->guaranteed && j->accelerators + others > all;
 }
 
