--- a/packages/coordination/sched.h
+++ b/packages/coordination/sched.h
@@ -65,7 +65,7 @@
 enum sched_reason {
 	SCHED_REASON_NEW,
 	SCHED_REASON_GUARANTEE,
-	SCHED_REASON_CLAIM,
+	SCHED_REASON_CLAIM, /* borrowers are stopped for it, within or outside a guarantee */
 	SCHED_REASON_FREE,
 	SCHED_REASON_BACKFILL,
 	SCHED_REASON_BLOCKED,
@@ -197,6 +197,7 @@
 struct sched_counts {
 	uint64_t placed;
 	uint64_t preempted;
+	/* Jobs for which borrowers were stopped, within or outside of a guarantee. */
 	uint64_t claims;
 	uint64_t moved_holds;
 	/* Jobs that ended with not_run: rejected, or cancelled or expired before they ran. */
