--- a/packages/coordination/sched-admit.c
+++ b/packages/coordination/sched-admit.c
@@ -67,8 +67,7 @@
 	 * needs the other resources of one of them.
 	 */
 	if (j->accelerators == 0 || !share_covers_somewhere(s, j))
-		return j->accelerators + o->guaranteed + others >
-		       all - (j->accelerators == 0 ? 1 : 0);
+		return j->accelerators + o->guaranteed + others > all - (j->accelerators == 0);
 	return j->accelerators > o->guaranteed && j->accelerators + others > all;
 }
 
