--- a/packages/coordination/sched-private.h
+++ b/packages/coordination/sched-private.h
@@ -108,8 +108,7 @@
 	uint32_t quota_accelerators;
 	uint32_t quota_jobs;
 	uint32_t guaranteed;
-	/* Accelerators of all jobs with members, also of those that wait for borrowers to stop.
-	 */
+	/* Accelerators of all jobs with members, including those still claiming. */
 	uint32_t allocated_accelerators;
 	/* Jobs that have not ended. */
 	uint32_t jobs;
@@ -123,10 +122,10 @@
 
 /*
  * The scheduler. queue_max limits the jobs of each organisation that have not ended, running
- * ones included, and class_queue_max those of each class, by class priority. active lists the
- * jobs that have members. shape_demand sums up the accelerators that jobs asked for, by
- * adjacency and job size; demand_above[a][n] is the part of all these accelerators that jobs
- * with adjacency a and a size of more than n asked for.
+ * ones included, and class_queue_max those of each class in an organisation, by class priority.
+ * active lists the jobs that have members. shape_demand sums up the accelerators that jobs
+ * asked for, by adjacency and job size; demand_above[a][n] is the part of all these
+ * accelerators that jobs with adjacency a and a size of more than n asked for.
  */
 struct sched {
 	enum sched_policy policy;
