--- a/packages/coordination/sched-fit.c
+++ b/packages/coordination/sched-fit.c
@@ -6,8 +6,9 @@
 /*
  * Fragmentation is measured as in Weng et al., "Beware of Fragmentation: Scheduling
  * GPU-Sharing Workloads with Fragmentation Gradient Descent" (USENIX ATC 2023): the expected
- * share of free accelerators that a job drawn from the workload cannot use. Jobs are weighted
- * by the number of accelerators that they request. We extend the measure from nodes to racks: a
+ * number of free accelerators that a job drawn from the workload cannot use, divided by the
+ * number of all accelerators of workers that are up. Jobs are weighted by the number of
+ * accelerators that they request. The measure is extended from nodes to racks: a
  * shape with worker adjacency cannot use the free accelerators of a worker that has too few of
  * them, and a shape with rack adjacency cannot use those of a rack that has too few. Among the
  * possible placements, the one that increases this measure least is chosen.
@@ -57,7 +58,7 @@
 	const struct sched_worker *w, const struct sched_job *j, int64_t now)
 {
 	return w->reserved_for != JOB_REF_NONE && w->reserved_for != j->ref &&
-	       now + j->estimate > w->reserved_until;
+	       now + j->estimate > w->reserved_job_start;
 }
 
 /* Returns the unused accelerators on a worker of one hold or, if NULL, of the organisation. */
@@ -69,8 +70,8 @@
 
 /*
  * Returns how many of a job's accelerators a worker can take. The charged modes are limited to
- * the given hold, or to all holds of the job's organisation if it is NULL. The cleared modes
- * count the resources that borrowers use as free.
+ * the given hold, or to all holds of the job's organisation if hold is NULL. The modes after
+ * preemption count the resources that borrowers use as free.
  */
 uint32_t fit_count(const struct sched *s, const struct sched_job *j, uint32_t worker,
 	enum fit_mode mode, const struct sched_hold *hold)
@@ -89,16 +90,16 @@
 	case FIT_CHARGED:
 		unused = MIN(unused_on(s, j, worker, hold), j->accelerators);
 		return unused == 0 ? 0 : chargeable_count(w, j, unused);
-	case FIT_COMMITTED:
+	case FIT_UNCOMMITTED:
 		uncommitted = worker_uncommitted(w);
 		available = res_min(&available, &uncommitted);
 		return res_fit_count(j, &available);
-	case FIT_BORROWED:
+	case FIT_FREE:
 		return res_fit_count(j, &available);
-	case FIT_COMMITTED_AFTER_PREEMPTION:
+	case FIT_UNCOMMITTED_AFTER_PREEMPTION:
 		uncommitted = worker_uncommitted(w);
 		return res_fit_count(j, &uncommitted);
-	case FIT_BORROWED_AFTER_PREEMPTION:
+	case FIT_FREE_AFTER_PREEMPTION:
 		available = w->capacity;
 		res_sub(&available, &w->committed);
 		res_sub(&available, &w->pending);
@@ -142,7 +143,10 @@
 	decay_shape_demand(s, sum);
 }
 
-/* Returns the part of all demand that has an adjacency and more than n accelerators. */
+/*
+ * Returns the part of all requested accelerators that was requested by jobs with an adjacency
+ * and a size of more than n accelerators.
+ */
 static double demand_part_above(const struct sched *s, enum adjacency a, uint32_t n)
 {
 	return n > JOB_ACCELERATORS_MAX ? 0 : s->demand_above[a][n];
@@ -256,7 +260,7 @@
 		if (s->policy != SCHED_POLICY_FULL)
 			return (int)i;
 		score = fragmentation_growth(s, f, w, n) + FREE_WEIGHT * free_count(w);
-		if (mode == FIT_BORROWED && !j->charged)
+		if (mode == FIT_FREE && !j->charged)
 			score += HELD_WEIGHT * w->held;
 		if (best < 0 || score < best_score) {
 			best = (int)i;
@@ -343,7 +347,10 @@
 	return ok;
 }
 
-/* Returns the fragmentation of the cell: unusable free accelerators by all accelerators. */
+/*
+ * Returns the fragmentation of the cell: the expected number of unusable free accelerators
+ * divided by all accelerators of the workers that are up.
+ */
 double fit_fragmentation(const struct sched *s)
 {
 	uint32_t *rack_free = xcalloc(s->racks->len, sizeof(*rack_free));
