--- a/packages/daemon/wl-agent.c
+++ b/packages/daemon/wl-agent.c
@@ -57,7 +57,7 @@
 	int64_t campaign_at; /* 0 for no campaign */
 	int64_t stored_term_revision;
 	uint64_t stored_term;
-	int64_t lease; /* for the coordinator's key; 0 for none */
+	int64_t store_lease; /* for the coordinator's key; 0 for none */
 };
 
 static int64_t agent_now(const struct wl_agent *a)
@@ -143,12 +143,12 @@
 		return;
 	wl_coord_free(a->coord);
 	a->coord = NULL;
-	a->lease = 0;
+	a->store_lease = 0;
 	if (a->coordinator_addr != NULL && strcmp(a->coordinator_addr, a->own_addr) == 0)
 		link_drop(a, "its term has ended");
 }
 
-static void on_coord_lost(void *arg)
+static void on_coord_term_lost(void *arg)
 {
 	struct wl_agent *a = arg;
 
@@ -157,12 +157,12 @@
 
 static void become_coordinator(struct wl_agent *a, uint64_t term, int64_t revision)
 {
-	const struct wl_coord_events ev = {.lost = on_coord_lost, .arg = a};
+	const struct wl_coord_events ev = {.term_lost = on_coord_term_lost, .arg = a};
 
 	counter_add(&takeovers_total, 1);
 	a->stored_term_revision = revision;
 	a->stored_term = term;
-	a->coord = wl_coord_new(a->p, term, revision, a->lease, &ev);
+	a->coord = wl_coord_new(a->p, term, revision, a->store_lease, &ev);
 	dial(a, a->own_addr);
 }
 
@@ -198,7 +198,7 @@
 	}
 	/* Without an answer the key may have been written: its lease must not be reused. */
 	if (r->status == KV_OUTCOME_UNKNOWN || r->status == KV_NOT_FOUND)
-		a->lease = 0;
+		a->store_lease = 0;
 	else if (r->status == KV_CONFLICT && !a->stopping)
 		campaign(a);
 }
@@ -213,7 +213,7 @@
 	t.expect[1] = (struct kv_condition){KEY_TERM, a->stored_term_revision};
 	t.write[0] = (struct kv_write){KEY_TERM, term, strlen(term), 0};
 	t.write[1] = (struct kv_write){
-		KEY_COORDINATOR_ADDR, a->own_addr, strlen(a->own_addr), a->lease};
+		KEY_COORDINATOR_ADDR, a->own_addr, strlen(a->own_addr), a->store_lease};
 	a->store_call_pending = true;
 	a->store_call_at = agent_now(a);
 	kv_commit(a->p->kv, &t, on_term_written, a);
@@ -226,7 +226,7 @@
 	a->store_call_pending = false;
 	if (r->status != KV_OK || a->stopping || a->coord != NULL)
 		return;
-	a->lease = r->lease;
+	a->store_lease = r->lease;
 	write_term(a);
 }
 
@@ -235,7 +235,7 @@
 {
 	if (a->store_call_pending || a->coord != NULL || a->stopping)
 		return;
-	if (a->lease != 0) {
+	if (a->store_lease != 0) {
 		write_term(a);
 		return;
 	}
@@ -283,7 +283,7 @@
 			g_strndup(r->items[0].value.data, r->items[0].value.len);
 
 		a->campaign_at = 0;
-		a->lease = 0;
+		a->store_lease = 0;
 		if (strcmp(addr, a->own_addr) == 0 && a->coord == NULL) {
 			remove_own_key(a, r->items[0].revision);
 			return;
@@ -374,7 +374,7 @@
 	a->heard_at = agent_now(a);
 	a->term_age = (int64_t)b->age_ms * NSEC_PER_MSEC;
 	wl_worker_set_term(a->worker, b->term);
-	wl_worker_set_start_ordinal(a->worker, b->ordinal);
+	wl_worker_note_start_ordinal(a->worker, b->ordinal);
 	if (b->echo_ns != 0)
 		wl_worker_set_authority(
 			a->worker, (int64_t)b->echo_ns - a->term_age + AUTHORITY_MAX);
@@ -385,20 +385,20 @@
 }
 
 /* Handles a message from the coordinator. */
-static void handle_order(struct wl_agent *a, struct wl_msg *m)
+static void handle_coordinator_message(struct wl_agent *a, struct wl_msg *m)
 {
 	switch (m->kind) {
 	case WL_MSG_LEAD_BEAT:
 		handle_coordinator_beat(a, &m->lead_beat);
 		break;
 	case WL_MSG_START:
-		wl_worker_start(a->worker, &m->start);
+		wl_worker_start_tasks(a->worker, &m->start);
 		break;
 	case WL_MSG_STOP:
-		wl_worker_stop(a->worker, &m->stop);
+		wl_worker_stop_run(a->worker, &m->stop);
 		break;
 	case WL_MSG_PACE:
-		wl_worker_pace(a->worker, &m->pace);
+		wl_worker_pace_run(a->worker, &m->pace);
 		break;
 	case WL_MSG_STORED:
 		wl_worker_ack_ends(a->worker, &m->stored);
@@ -467,9 +467,9 @@
 	if (m.kind == WL_MSG_STORE_CALL)
 		relay_store_call(a, peer, &m.store_call);
 	else if (peer == a->peer && !is_for_coordinator(m.kind))
-		handle_order(a, &m);
+		handle_coordinator_message(a, &m);
 	else if (a->coord != NULL)
-		wl_coord_message(a->coord, a->net, peer, &m);
+		wl_coord_handle_message(a->coord, a->net, peer, &m);
 	else
 		peer_close(a->net, peer);
 	wl_msg_clear(&m);
@@ -480,7 +480,7 @@
 	struct wl_agent *a = arg;
 
 	if (a->coord != NULL)
-		wl_coord_peer_closed(a->coord, peer);
+		wl_coord_handle_peer_closed(a->coord, peer);
 	if (peer == a->peer && peer != PEER_NONE) {
 		link_drop(a, why != NULL ? why->message : "closed");
 		a->store_call_at = 0;
--- a/packages/daemon/wl-config-feed.c
+++ b/packages/daemon/wl-config-feed.c
@@ -20,7 +20,7 @@
 	struct wl_process *p;
 	struct wl_config *config;
 	struct loop_timer *timer;
-	loop_fn *changed;
+	loop_fn *on_change;
 	void *arg;
 	int64_t period;
 	int64_t revision;
@@ -72,11 +72,11 @@
 	f->config = c;
 	event_log(EV_CONFIG, "version=%" PRId64 " revision=%" PRId64 " queues=%u orgs=%u",
 		c->version, c->revision, c->queues->len, c->orgs->len);
-	f->changed(f->arg);
+	f->on_change(f->arg);
 	wl_config_free(old);
 }
 
-void config_feed_observe(struct config_feed *f, const struct kv_result *r)
+void config_feed_apply_result(struct config_feed *f, const struct kv_result *r)
 {
 	if (r->status == KV_OK)
 		f->verified_at = MAX(f->verified_at, r->sent);
@@ -117,7 +117,7 @@
 		config_feed_free(f);
 		return;
 	}
-	config_feed_observe(f, r);
+	config_feed_apply_result(f, r);
 	if (ok && f->store_lost)
 		event_log(EV_STORE_BACK, "gap_ms=%" PRId64,
 			(loop_now(f->p->loop) - f->check_sent_at) / NSEC_PER_MSEC);
@@ -170,12 +170,12 @@
 
 /* Verifies the configuration at least about once per period while the store answers. */
 struct config_feed *config_feed_new(
-	struct wl_process *p, int64_t period, loop_fn *changed, void *arg)
+	struct wl_process *p, int64_t period, loop_fn *on_change, void *arg)
 {
 	struct config_feed *f = xcalloc(1, sizeof(*f));
 
 	f->p = p;
-	f->changed = changed;
+	f->on_change = on_change;
 	f->arg = arg;
 	f->period = period;
 	f->waiters = g_array_new(FALSE, FALSE, sizeof(struct waiter));
--- a/packages/daemon/wl-coord-inbox.c
+++ b/packages/daemon/wl-coord-inbox.c
@@ -23,13 +23,13 @@
 	struct wl_spec spec = {0};
 	const struct bytes *state;
 	struct wl_progress p = {0};
-	bool has_state = false;
+	bool has_progress = false;
 	g_autoptr(GError) err = NULL;
 	int64_t now = loop_now(c->p->loop);
 	const char *id = it->key + strlen(KEY_JOB);
 	uint64_t tasks = 0;
 
-	if (wl_job_has(c->wl, id))
+	if (wl_job_has(c->scheduler, id))
 		return;
 	if (!fields_decode(&wl_spec_fields, &spec, it->value.data, it->value.len, &err) ||
 		!wl_spec_check(&spec, &err) || strcmp(spec.id, id) != 0) {
@@ -40,9 +40,9 @@
 	}
 	state = g_hash_table_lookup(c->stored_progress, id);
 	if (state != NULL)
-		has_state =
+		has_progress =
 			fields_decode(&wl_progress_fields, &p, state->data, state->len, NULL);
-	record_writer_set_revision(c->records, id, it->revision);
+	record_writer_note_revision(c->records, id, it->revision);
 	for (uint32_t s = 0; s < spec.steps_len; s++)
 		tasks += spec.steps[s].count;
 	event_log(EV_JOB_SEEN,
@@ -53,23 +53,23 @@
 		id, spec.queue, spec.org ? spec.org : "-", tasks, spec.steps[0].accelerators,
 		spec.steps[0].cores_m, spec.steps[0].estimate_ms, spec.steps[0].gang,
 		spec.steps[0].rack_local, spec.repetitions,
-		has_state ? wl_state_name(p.state) : "new", it->revision);
-	wl_job_add(
-		c->wl, now, clock_wall(loop_clock(c->p->loop)), &spec, has_state ? &p : NULL);
+		has_progress ? wl_state_name(p.state) : "new", it->revision);
+	wl_job_add(c->scheduler, now, clock_wall(loop_clock(c->p->loop)), &spec,
+		has_progress ? &p : NULL);
 	c->jobs_read++;
 	g_hash_table_remove(c->stored_progress, id);
 	fields_clear(&wl_spec_fields, &spec);
 	fields_clear(&wl_progress_fields, &p);
 	if (g_hash_table_remove(c->pending_cancels, id))
-		wl_job_cancel(c->wl, now, clock_wall(loop_clock(c->p->loop)), id);
+		wl_job_cancel(c->scheduler, now, clock_wall(loop_clock(c->p->loop)), id);
 }
 
 /* Cancels a job, or remembers the cancellation if its key was read before the job's. */
 static void read_cancel(struct wl_coord *c, const char *id)
 {
-	if (wl_job_has(c->wl, id))
-		wl_job_cancel(
-			c->wl, loop_now(c->p->loop), clock_wall(loop_clock(c->p->loop)), id);
+	if (wl_job_has(c->scheduler, id))
+		wl_job_cancel(c->scheduler, loop_now(c->p->loop),
+			clock_wall(loop_clock(c->p->loop)), id);
 	else
 		g_hash_table_add(c->pending_cancels, g_strdup(id));
 }
@@ -92,7 +92,7 @@
 {
 	struct wl_coord *c = arg;
 
-	c->watch_timer = NULL;
+	c->inbox_timer = NULL;
 	watch_inbox(c);
 }
 
@@ -104,15 +104,15 @@
 {
 	struct wl_coord *c = arg;
 
-	if (!coord_call_ended(c) || c->lost)
+	if (!coord_call_ended(c) || c->term_lost)
 		return;
 	switch (r->status) {
 	case KV_OK:
-		for (size_t i = 0; i < r->items_len && !c->lost; i++)
+		for (size_t i = 0; i < r->items_len && !c->term_lost; i++)
 			read_inbox_item(c, &r->items[i]);
 		if (r->store_revision > c->watch_revision)
 			c->watch_revision = r->store_revision;
-		if (c->lost)
+		if (c->term_lost)
 			return;
 		if (r->items_len > 0)
 			coord_request_pass(c);
@@ -127,15 +127,15 @@
 	case KV_OUTCOME_UNKNOWN:
 		break;
 	}
-	if (c->watch_timer == NULL)
-		c->watch_timer = loop_timer_add(c->p->loop,
+	if (c->inbox_timer == NULL)
+		c->inbox_timer = loop_timer_add(c->p->loop,
 			r->status == KV_OUTCOME_UNKNOWN ? 0 : STORE_RETRY_DELAY, 0,
 			on_watch_timer, c);
 }
 
 static void watch_inbox(struct wl_coord *c)
 {
-	if (c->lost || c->freed)
+	if (c->term_lost || c->freed)
 		return;
 	c->calls_in_flight++;
 	kv_watch(c->p->kv, KEY_INBOX, c->watch_revision, WATCH_TIMEOUT_MS, on_watch_result, c);
@@ -148,7 +148,7 @@
 		c->loaded = true;
 		event_log(EV_TERM_TAKEN,
 			"term=%" PRIu64 " revision=%" PRId64 " jobs=%u nodes=%zu", c->term,
-			c->term_revision, c->jobs_read, wl_node_count(c->wl));
+			c->term_revision, c->jobs_read, wl_node_count(c->scheduler));
 		coord_apply_pending_reports(c);
 	}
 	coord_request_pass(c);
@@ -159,19 +159,19 @@
 {
 	struct wl_coord *c = arg;
 
-	c->watch_timer = NULL;
+	c->inbox_timer = NULL;
 	list_inbox(c, NULL);
 }
 
 /* Returns whether a page was read; if the store failed, schedules retry after a delay. */
-static bool check_page(struct wl_coord *c, const struct kv_result *r, loop_fn *retry)
+static bool finish_page_call(struct wl_coord *c, const struct kv_result *r, loop_fn *retry)
 {
-	if (!coord_call_ended(c) || c->lost)
+	if (!coord_call_ended(c) || c->term_lost)
 		return false;
 	if (r->status == KV_OK)
 		return true;
 	c->watch_revision = 0;
-	c->watch_timer = loop_timer_add(c->p->loop, STORE_RETRY_DELAY, 0, retry, c);
+	c->inbox_timer = loop_timer_add(c->p->loop, STORE_RETRY_DELAY, 0, retry, c);
 	return false;
 }
 
@@ -183,13 +183,13 @@
 {
 	struct wl_coord *c = arg;
 
-	if (!check_page(c, r, on_inbox_retry))
+	if (!finish_page_call(c, r, on_inbox_retry))
 		return;
 	if (c->watch_revision == 0)
 		c->watch_revision = r->store_revision;
-	for (size_t i = 0; i < r->items_len && !c->lost; i++)
+	for (size_t i = 0; i < r->items_len && !c->term_lost; i++)
 		read_inbox_item(c, &r->items[i]);
-	if (c->lost)
+	if (c->term_lost)
 		return;
 	if (r->has_more && r->items_len > 0)
 		list_inbox(c, r->items[r->items_len - 1].key);
@@ -211,7 +211,7 @@
 {
 	struct wl_coord *c = arg;
 
-	c->watch_timer = NULL;
+	c->inbox_timer = NULL;
 	list_nodes(c, NULL);
 }
 
@@ -220,7 +220,7 @@
 {
 	struct wl_coord *c = arg;
 
-	if (!check_page(c, r, on_load_retry))
+	if (!finish_page_call(c, r, on_load_retry))
 		return;
 	for (size_t i = 0; i < r->items_len; i++) {
 		const char *id = r->items[i].key + strlen(KEY_PROGRESS);
@@ -228,7 +228,7 @@
 
 		*b = bytes_copy(r->items[i].value.data, r->items[i].value.len);
 		g_hash_table_replace(c->stored_progress, g_strdup(id), b);
-		record_writer_set_revision(c->records, id, r->items[i].revision);
+		record_writer_note_revision(c->records, id, r->items[i].revision);
 	}
 	if (r->has_more && r->items_len > 0)
 		list_progress(c, r->items[r->items_len - 1].key);
@@ -250,13 +250,13 @@
 {
 	struct wl_coord *c = arg;
 
-	if (!check_page(c, r, on_load_retry))
+	if (!finish_page_call(c, r, on_load_retry))
 		return;
 	for (size_t i = 0; i < r->items_len; i++) {
 		const char *node = r->items[i].key + strlen(KEY_NODE);
 
 		record_writer_add_stored_node(c->records, node);
-		wl_node_await_report(c->wl, loop_now(c->p->loop), node);
+		wl_node_await_report(c->scheduler, loop_now(c->p->loop), node);
 	}
 	if (r->has_more && r->items_len > 0)
 		list_nodes(c, r->items[r->items_len - 1].key);
--- a/packages/daemon/wl-coord-private.h
+++ b/packages/daemon/wl-coord-private.h
@@ -18,17 +18,17 @@
 struct wl_coord {
 	struct wl_process *p;
 	struct wl_coord_events ev;
-	struct wl *wl;
+	struct wl *scheduler;
 	struct record_writer *records;
 	struct config_feed *feed;
 	uint64_t term;
 	int64_t term_revision;
-	int64_t lease;
+	int64_t store_lease;
 	int64_t term_confirmed_at;
 	bool renewing_lease;
 	bool loaded;
 	bool stopping;
-	bool lost;
+	bool term_lost;
 	bool freed;
 	unsigned int calls_in_flight;
 	int64_t watch_revision;
@@ -41,7 +41,7 @@
 	struct loop_timer *pass_timer;
 	int64_t pass_ended;
 	int64_t pass_pause;
-	struct loop_timer *watch_timer;
+	struct loop_timer *inbox_timer;
 	unsigned int jobs_read;
 };
 
--- a/packages/daemon/wl-coord-records.c
+++ b/packages/daemon/wl-coord-records.c
@@ -19,7 +19,7 @@
 struct record {
 	char *id;
 	int64_t revision;
-	int64_t dirty_since;
+	int64_t enqueued_at;
 	bool dirty;
 	bool remove;
 	/* Part of the transaction in flight, which writes this version of the progress. */
@@ -37,7 +37,7 @@
 
 struct record_writer {
 	struct wl_process *p;
-	struct wl *wl;
+	struct wl *scheduler;
 	int64_t term_revision;
 	record_stored_fn *on_stored;
 	loop_fn *on_term_lost;
@@ -88,7 +88,7 @@
 	if (rec->dirty)
 		return;
 	rec->dirty = true;
-	rec->dirty_since = loop_now(r->p->loop);
+	rec->enqueued_at = loop_now(r->p->loop);
 	g_queue_push_tail(&r->queue, rec);
 }
 
@@ -100,7 +100,7 @@
 }
 
 /* Notes the revision at which a job's record was read from the store. */
-void record_writer_set_revision(struct record_writer *r, const char *id, int64_t revision)
+void record_writer_note_revision(struct record_writer *r, const char *id, int64_t revision)
 {
 	struct record *rec = record_get(r, id);
 
@@ -190,15 +190,15 @@
 		enqueue(r, rec);
 		return;
 	}
-	histogram_add(&record_seconds, loop_now(r->p->loop) - rec->dirty_since);
+	histogram_add(&record_seconds, loop_now(r->p->loop) - rec->enqueued_at);
 	if (rec->remove) {
-		wl_job_forget(r->wl, rec->id);
+		wl_job_forget(r->scheduler, rec->id);
 		if (!rec->dirty)
 			g_hash_table_remove(r->records, rec->id);
 		return;
 	}
 	rec->revision = MAX(rec->revision, res->store_revision);
-	wl_job_stored(r->wl, loop_now(r->p->loop), rec->id, rec->version);
+	wl_job_stored(r->scheduler, loop_now(r->p->loop), rec->id, rec->version);
 }
 
 /* Takes the current revisions from a conflict; returns false if the store has another term. */
@@ -324,7 +324,7 @@
 		return;
 	}
 	value = xcalloc(1, sizeof(*value));
-	*value = wl_job_progress(r->wl, rec->id, &rec->version);
+	*value = wl_job_progress(r->scheduler, rec->id, &rec->version);
 	g_ptr_array_add(b->values, value);
 	if (value->data == NULL)
 		return;
@@ -359,13 +359,13 @@
 }
 
 /* Creates a writer whose transactions are conditional on the revision of the term. */
-struct record_writer *record_writer_new(struct wl_process *p, struct wl *wl,
+struct record_writer *record_writer_new(struct wl_process *p, struct wl *scheduler,
 	int64_t term_revision, record_stored_fn *on_stored, loop_fn *on_term_lost, void *arg)
 {
 	struct record_writer *r = xcalloc(1, sizeof(*r));
 
 	r->p = p;
-	r->wl = wl;
+	r->scheduler = scheduler;
 	r->term_revision = term_revision;
 	r->on_stored = on_stored;
 	r->on_term_lost = on_term_lost;
--- a/packages/daemon/wl-coord.c
+++ b/packages/daemon/wl-coord.c
@@ -13,15 +13,15 @@
 COUNTER(passes_total, "damaskpath_passes_total", "Passes of the scheduler.");
 HISTOGRAM(pass_seconds, "damaskpath_pass_seconds", "Time of one pass of the scheduler.");
 
-#define CONFIG_PERIOD	   NSEC_PER_SEC
-#define LEASE_RENEW_PERIOD (700 * NSEC_PER_MSEC)
-#define SWEEP_PERIOD	   (500 * NSEC_PER_MSEC)
+#define CONFIG_PERIOD		 NSEC_PER_SEC
+#define STORE_LEASE_RENEW_PERIOD (700 * NSEC_PER_MSEC)
+#define SWEEP_PERIOD		 (500 * NSEC_PER_MSEC)
 /* An agent reports about once a second; one silent for this long is considered unreachable. */
 #define AGENT_TIMEOUT (3500 * NSEC_PER_MSEC)
 /* No tasks are started if the store last confirmed the term longer ago than this. */
 #define START_TERM_AGE_MAX (3 * NSEC_PER_SEC)
 /* Allows for message delay and for a worker whose clock runs slow. */
-#define LEASE_MARGIN (400 * NSEC_PER_MSEC)
+#define RUN_LEASE_MARGIN (400 * NSEC_PER_MSEC)
 /* The pause after a pass is as long as the pass, up to this limit. */
 #define PASS_PAUSE_MAX (100 * NSEC_PER_MSEC)
 /* Keeps ended jobs longer than promised, for callers that query the state late. */
@@ -45,11 +45,11 @@
 
 void coord_lose_term(struct wl_coord *c, const char *why)
 {
-	if (c->lost)
+	if (c->term_lost)
 		return;
-	c->lost = true;
+	c->term_lost = true;
 	event_log(EV_TERM_LOST, "term=%" PRIu64 " why=\"%s\"", c->term, why);
-	c->ev.lost(c->ev.arg);
+	c->ev.term_lost(c->ev.arg);
 }
 
 /* Returns the agent of a node, or NULL if it has not sent a hello. */
@@ -122,8 +122,8 @@
 	int64_t next = NSEC_PER_SEC;
 
 	c->pass_timer = NULL;
-	if (c->loaded && !c->stopping && !c->lost && term_age(c) < START_TERM_AGE_MAX) {
-		next = wl_pass(c->wl, now, clock_wall(loop_clock(c->p->loop)));
+	if (c->loaded && !c->stopping && !c->term_lost && term_age(c) < START_TERM_AGE_MAX) {
+		next = wl_pass(c->scheduler, now, clock_wall(loop_clock(c->p->loop)));
 		c->pass_ended = loop_now(c->p->loop);
 		c->pass_pause = MIN(c->pass_ended - now, PASS_PAUSE_MAX);
 		counter_add(&passes_total, 1);
@@ -147,7 +147,7 @@
  */
 void coord_request_pass(struct wl_coord *c)
 {
-	if (wl_pass_needed(c->wl))
+	if (wl_pass_needed(c->scheduler))
 		schedule_pass(c, MAX(c->pass_ended + c->pass_pause - loop_now(c->p->loop), 0));
 }
 
@@ -159,7 +159,7 @@
 		struct wl_msg msg = {.kind = WL_MSG_STORED, .stored.term = c->term};
 		const char *life;
 
-		if (!wl_node_ends_stored(c->wl, agent->node, &life, &msg.stored.number))
+		if (!wl_node_ends_stored(c->scheduler, agent->node, &life, &msg.stored.number))
 			continue;
 		msg.stored.life = (char *)life;
 		send_to_node(c, agent->node, &msg);
@@ -174,7 +174,7 @@
 			.age_ms = (uint32_t)MIN(term_age(c) / NSEC_PER_MSEC, UINT32_MAX),
 			.stopping = c->stopping,
 			.echo_ns = echo,
-			.ordinal = wl_last_ordinal(c->wl)}};
+			.ordinal = wl_last_ordinal(c->scheduler)}};
 
 	send_to_node(c, agent->node, &msg);
 }
@@ -182,7 +182,8 @@
 /* Passes a report to the scheduler. */
 static void apply_report(struct wl_coord *c, const struct wl_report *r)
 {
-	wl_node_report(c->wl, loop_now(c->p->loop), clock_wall(loop_clock(c->p->loop)), r);
+	wl_node_report(
+		c->scheduler, loop_now(c->p->loop), clock_wall(loop_clock(c->p->loop)), r);
 	send_stored(c);
 	coord_request_pass(c);
 }
@@ -257,7 +258,7 @@
 }
 
 /* Handles a message from an agent; those from unknown peers or for another term are ignored. */
-void wl_coord_message(
+void wl_coord_handle_message(
 	struct wl_coord *c, struct peer_net *net, peer_id peer, struct wl_msg *msg)
 {
 	struct agent_conn *agent = NULL;
@@ -278,7 +279,7 @@
 	} else if (msg->kind == WL_MSG_REPORT && msg->report.term == c->term) {
 		on_report(c, agent, msg);
 	} else if (msg->kind == WL_MSG_ANSWER && msg->answer.term == c->term) {
-		wl_node_answer(c->wl, agent->last_heard, &msg->answer);
+		wl_node_answer(c->scheduler, agent->last_heard, &msg->answer);
 		coord_request_pass(c);
 	}
 }
@@ -290,11 +291,11 @@
 	if (agent->has_pending_report)
 		wl_msg_clear(&agent->pending_report);
 	agent->has_pending_report = false;
-	wl_node_unreachable(c->wl, loop_now(c->p->loop), agent->node);
+	wl_node_unreachable(c->scheduler, loop_now(c->p->loop), agent->node);
 	coord_request_pass(c);
 }
 
-void wl_coord_peer_closed(struct wl_coord *c, peer_id peer)
+void wl_coord_handle_peer_closed(struct wl_coord *c, peer_id peer)
 {
 	for (guint i = 0; i < c->agents->len; i++) {
 		struct agent_conn *agent = c->agents->pdata[i];
@@ -326,11 +327,11 @@
 {
 	struct wl_coord *c = arg;
 
-	if (c->renewing_lease || c->lost || c->stopping)
+	if (c->renewing_lease || c->term_lost || c->stopping)
 		return;
 	c->renewing_lease = true;
 	c->calls_in_flight++;
-	kv_lease_keepalive(c->p->kv, c->lease, on_lease_renewed, c);
+	kv_lease_keepalive(c->p->kv, c->store_lease, on_lease_renewed, c);
 }
 
 /* Disconnects silent agents, and removes the records of gone nodes and expired jobs. */
@@ -338,7 +339,7 @@
 {
 	struct wl_coord *c = arg;
 	int64_t now = loop_now(c->p->loop);
-	g_autoptr(GPtrArray) gone_nodes = NULL;
+	g_autoptr(GPtrArray) expired_nodes = NULL;
 	g_autoptr(GPtrArray) expired = NULL;
 
 	for (guint i = 0; i < c->agents->len; i++) {
@@ -349,14 +350,14 @@
 		peer_close(agent->net, agent->peer);
 		agent_disconnected(c, agent);
 	}
-	if (!c->loaded || c->lost)
+	if (!c->loaded || c->term_lost)
 		return;
-	gone_nodes = wl_nodes_expired(c->wl, now);
-	for (guint i = 0; i < gone_nodes->len; i++) {
-		record_writer_set_node(c->records, gone_nodes->pdata[i], false);
+	expired_nodes = wl_nodes_expired(c->scheduler, now);
+	for (guint i = 0; i < expired_nodes->len; i++) {
+		record_writer_set_node(c->records, expired_nodes->pdata[i], false);
 		coord_request_pass(c);
 	}
-	expired = wl_jobs_expired(c->wl, clock_wall(loop_clock(c->p->loop)));
+	expired = wl_jobs_expired(c->scheduler, clock_wall(loop_clock(c->p->loop)));
 	for (guint i = 0; i < expired->len; i++)
 		record_writer_remove_job(c->records, expired->pdata[i]);
 }
@@ -391,13 +392,13 @@
 {
 	struct wl_coord *c = arg;
 
-	wl_set_config(c->wl, config_feed_get(c->feed));
+	wl_set_config(c->scheduler, config_feed_get(c->feed));
 	coord_request_pass(c);
 }
 
 /* Starts coordinating under a term that was acquired with this lease. */
 struct wl_coord *wl_coord_new(struct wl_process *p, uint64_t term, int64_t term_revision,
-	int64_t lease, const struct wl_coord_events *ev)
+	int64_t store_lease, const struct wl_coord_events *ev)
 {
 	const struct pf_settings *s = &p->settings;
 	struct wl_coord *c = xcalloc(1, sizeof(*c));
@@ -406,7 +407,8 @@
 		.remote_penalty = s->remote_penalty,
 		.restore = s->restore,
 		.reclaim_max = s->reclaim_max,
-		.silence_max = AUTHORITY_MAX + s->lease_max + s->lease_max / 50 + LEASE_MARGIN,
+		.silence_max =
+			AUTHORITY_MAX + s->lease_max + s->lease_max / 50 + RUN_LEASE_MARGIN,
 		.retention = s->ended_retention + RETENTION_MARGIN};
 	const struct wl_callbacks out = {.start = order_start,
 		.stop = order_stop,
@@ -418,18 +420,18 @@
 	c->ev = *ev;
 	c->term = term;
 	c->term_revision = term_revision;
-	c->lease = lease;
+	c->store_lease = store_lease;
 	c->term_confirmed_at = loop_now(p->loop);
 	c->agents = g_ptr_array_new();
 	c->stored_progress =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, stored_progress_free);
 	c->pending_cancels = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-	c->wl = wl_new(term, &limits, &out);
+	c->scheduler = wl_new(term, &limits, &out);
 	c->records = record_writer_new(
-		p, c->wl, term_revision, on_records_stored, on_term_superseded, c);
+		p, c->scheduler, term_revision, on_records_stored, on_term_superseded, c);
 	c->feed = config_feed_new(p, CONFIG_PERIOD, on_config, c);
-	c->renew_timer =
-		loop_timer_add(p->loop, LEASE_RENEW_PERIOD, LEASE_RENEW_PERIOD, renew_lease, c);
+	c->renew_timer = loop_timer_add(
+		p->loop, STORE_LEASE_RENEW_PERIOD, STORE_LEASE_RENEW_PERIOD, renew_lease, c);
 	c->sweep_timer = loop_timer_add(p->loop, SWEEP_PERIOD, SWEEP_PERIOD, on_sweep_timer, c);
 	inbox_start(c);
 	return c;
@@ -456,7 +458,7 @@
 		send_beat(c, c->agents->pdata[i], 0);
 	event_log(EV_TERM_LOST, "term=%" PRIu64 " why=\"process is stopping\"", c->term);
 	c->calls_in_flight++;
-	kv_lease_revoke(c->p->kv, c->lease, on_lease_revoked, c);
+	kv_lease_revoke(c->p->kv, c->store_lease, on_lease_revoked, c);
 }
 
 bool wl_coord_idle(const struct wl_coord *c)
@@ -492,9 +494,9 @@
 	loop_timer_del(c->p->loop, c->renew_timer);
 	loop_timer_del(c->p->loop, c->sweep_timer);
 	loop_timer_del(c->p->loop, c->pass_timer);
-	loop_timer_del(c->p->loop, c->watch_timer);
+	loop_timer_del(c->p->loop, c->inbox_timer);
 	record_writer_free(c->records);
 	config_feed_free(c->feed);
-	wl_free(c->wl);
+	wl_free(c->scheduler);
 	coord_free_if_idle(c);
 }
--- a/packages/daemon/wl-daemon.h
+++ b/packages/daemon/wl-daemon.h
@@ -28,7 +28,7 @@
 /* wl-config-feed.c: the newest configuration, and when it was last verified as such. */
 struct config_feed;
 struct config_feed *config_feed_new(
-	struct wl_process *p, int64_t period, loop_fn *changed, void *arg);
+	struct wl_process *p, int64_t period, loop_fn *on_change, void *arg);
 void config_feed_free(struct config_feed *f);
 const struct wl_config *config_feed_get(const struct config_feed *f);
 /* Time since the last successful verification; INT64_MAX before the first. */
@@ -39,7 +39,7 @@
  * Takes the result of a store call that was conditional on the configuration: a success
  * verifies it, a conflict may hold a newer document.
  */
-void config_feed_observe(struct config_feed *f, const struct kv_result *r);
+void config_feed_apply_result(struct config_feed *f, const struct kv_result *r);
 /*
  * Makes sure that the configuration was verified by a request sent at or after since. fn is
  * called once it was, at once if it has been already, or when the store cannot be reached.
@@ -64,7 +64,7 @@
 	enum pf_call_kind kind;
 	char *host;
 	char *path;
-	char *key;
+	char *api_key;
 	struct wl_spec spec;
 	char *id;
 	const char *queue; /* a copy, as the configuration may be replaced during the call */
@@ -86,38 +86,40 @@
 	int64_t stop_at;
 	/* Number of jobs per queue that have not started, as of queue_depth_at. */
 	GHashTable *queue_depth;
-	GHashTable *queue_depth_next;
+	GHashTable *queue_depth_partial;
 	int64_t queue_depth_at;
 	bool queue_depth_reading;
 	GPtrArray *queue_depth_waiters;
 };
 void entry_call_route(struct entry_call *c);
-void entry_call_deny(struct entry_call *c, int status, int retry_after_s, const char *reason);
+void entry_call_reply_error(
+	struct entry_call *c, int status, int retry_after_s, const char *reason);
 
 /* wl-coord.c: the coordinator, which runs in the agent that holds the term. */
 struct wl_coord;
 struct wl_coord_events {
 	/* The term is lost; the owner has to free the coordinator. */
-	void (*lost)(void *arg);
+	void (*term_lost)(void *arg);
 	void *arg;
 };
 struct wl_coord *wl_coord_new(struct wl_process *p, uint64_t term, int64_t term_revision,
-	int64_t lease, const struct wl_coord_events *ev);
+	int64_t store_lease, const struct wl_coord_events *ev);
 void wl_coord_free(struct wl_coord *c);
 void wl_coord_stop(struct wl_coord *c);
 bool wl_coord_idle(const struct wl_coord *c);
 uint64_t wl_coord_term(const struct wl_coord *c);
-void wl_coord_message(struct wl_coord *c, struct peer_net *net, peer_id peer, struct wl_msg *m);
-void wl_coord_peer_closed(struct wl_coord *c, peer_id peer);
+void wl_coord_handle_message(
+	struct wl_coord *c, struct peer_net *net, peer_id peer, struct wl_msg *m);
+void wl_coord_handle_peer_closed(struct wl_coord *c, peer_id peer);
 
 /* wl-coord-records.c: writes job progress and the list of nodes to the store. */
 struct record_writer;
 typedef void record_stored_fn(void *arg);
-struct record_writer *record_writer_new(struct wl_process *p, struct wl *wl,
+struct record_writer *record_writer_new(struct wl_process *p, struct wl *scheduler,
 	int64_t term_revision, record_stored_fn *on_stored, loop_fn *on_term_lost, void *arg);
 void record_writer_free(struct record_writer *r);
 void record_writer_mark_dirty(struct record_writer *r, const char *id);
-void record_writer_set_revision(struct record_writer *r, const char *id, int64_t revision);
+void record_writer_note_revision(struct record_writer *r, const char *id, int64_t revision);
 void record_writer_remove_job(struct record_writer *r, const char *id);
 void record_writer_set_node(struct record_writer *r, const char *node, bool present);
 bool record_writer_has_node(const struct record_writer *r, const char *node);
@@ -148,12 +150,12 @@
 /* Sets the coordinator's term, 0 for none; open starts of another term are dropped. */
 void wl_worker_set_term(struct wl_worker *w, uint64_t term);
 /* Start orders up to this ordinal have arrived, or were lost in transit and will not arrive. */
-void wl_worker_set_start_ordinal(struct wl_worker *w, uint64_t ordinal);
+void wl_worker_note_start_ordinal(struct wl_worker *w, uint64_t ordinal);
 /* Leases may be renewed until this time. */
 void wl_worker_set_authority(struct wl_worker *w, int64_t until);
-void wl_worker_start(struct wl_worker *w, const struct wl_start_order *o);
-void wl_worker_stop(struct wl_worker *w, const struct wl_stop_order *o);
-void wl_worker_pace(struct wl_worker *w, const struct wl_pace_order *o);
+void wl_worker_start_tasks(struct wl_worker *w, const struct wl_start_order *o);
+void wl_worker_stop_run(struct wl_worker *w, const struct wl_stop_order *o);
+void wl_worker_pace_run(struct wl_worker *w, const struct wl_pace_order *o);
 /* The ends of runs up to this number are stored; the worker may forget them. */
 void wl_worker_ack_ends(struct wl_worker *w, const struct wl_stored *s);
 
--- a/packages/daemon/wl-detour.c
+++ b/packages/daemon/wl-detour.c
@@ -37,7 +37,7 @@
 	int64_t connect_started_at;
 	int64_t addr_read_sent_at;
 	bool addr_read_in_flight;
-	uint64_t number;
+	uint64_t last_call_number;
 	GArray *calls;
 };
 
@@ -113,7 +113,7 @@
 	}
 }
 
-static bool detour_open(void *arg)
+static bool detour_is_open(void *arg)
 {
 	return ((struct wl_detour *)arg)->connected;
 }
@@ -124,8 +124,10 @@
 {
 	struct wl_detour *d = arg;
 	int64_t now = loop_now(d->p->loop);
-	struct detour_call c = {
-		.number = ++d->number, .deadline = now + timeout, .fn = fn, .arg = fn_arg};
+	struct detour_call c = {.number = ++d->last_call_number,
+		.deadline = now + timeout,
+		.fn = fn,
+		.arg = fn_arg};
 	const struct wl_msg m = {.kind = WL_MSG_STORE_CALL,
 		.store_call = {.number = c.number,
 			.method = (char *)method,
@@ -190,7 +192,7 @@
 	struct wl_detour *d = xcalloc(1, sizeof(*d));
 	const struct peer_events events = {
 		.opened = on_opened, .message = on_message, .closed = on_closed, .arg = d};
-	const struct pf_detour detour = {.open = detour_open, .send = detour_send, .arg = d};
+	const struct pf_detour detour = {.open = detour_is_open, .send = detour_send, .arg = d};
 
 	d->p = p;
 	d->net = peer_net_new(p->loop, p->keys, &events);
--- a/packages/daemon/wl-entry-job.c
+++ b/packages/daemon/wl-entry-job.c
@@ -36,7 +36,7 @@
 	c->entry->open--;
 	free(c->host);
 	free(c->path);
-	free(c->key);
+	free(c->api_key);
 	free(c->id);
 	free(c->org);
 	free((char *)c->queue);
@@ -68,7 +68,8 @@
 }
 
 /* Answers with an error; retry_after_s is 0 if a retry doesn't help. */
-void entry_call_deny(struct entry_call *c, int status, int retry_after_s, const char *reason)
+void entry_call_reply_error(
+	struct entry_call *c, int status, int retry_after_s, const char *reason)
 {
 	AUTOFREE char *body = NULL;
 	g_autofree char *after = NULL;
@@ -112,7 +113,7 @@
 	bool exists = false;
 	int64_t now = loop_now(c->entry->p->loop);
 
-	config_feed_observe(feed, r);
+	config_feed_apply_result(feed, r);
 	for (size_t i = 0; i < r->items_len; i++) {
 		if (g_str_has_prefix(r->items[i].key, KEY_JOB) && r->items[i].revision > 0)
 			exists = true;
@@ -134,7 +135,7 @@
 		}
 		c->tries++;
 		if (retries_exhausted(c))
-			entry_call_deny(c, c->outcome_unknown ? 504 : 503, RETRY_AFTER_S,
+			entry_call_reply_error(c, c->outcome_unknown ? 504 : 503, RETRY_AFTER_S,
 				"the configuration keeps changing");
 		else
 			reroute(c);
@@ -142,7 +143,7 @@
 	case KV_REFUSED:
 	case KV_NOT_FOUND:
 		if (!c->outcome_unknown) {
-			entry_call_deny(c, 503, RETRY_AFTER_S, "the store refuses");
+			entry_call_reply_error(c, 503, RETRY_AFTER_S, "the store refuses");
 			return;
 		}
 		break;
@@ -154,7 +155,8 @@
 	}
 	c->tries++;
 	if (retries_exhausted(c))
-		entry_call_deny(c, 504, RETRY_AFTER_S, "it is not known whether it was stored");
+		entry_call_reply_error(
+			c, 504, RETRY_AFTER_S, "it is not known whether it was stored");
 	else
 		store_job(c);
 }
@@ -168,15 +170,15 @@
 	struct bytes spec = fields_encode(&wl_spec_fields, &c->spec);
 	struct bytes state = fields_encode(&wl_progress_fields, &progress);
 	AUTOFREE char *job_key = NULL;
-	AUTOFREE char *state_key = NULL;
+	AUTOFREE char *progress_key = NULL;
 	struct kv_txn t = {.expect_len = 2, .write_len = 2};
 
 	xasprintf(&job_key, KEY_JOB "%s", c->id);
-	xasprintf(&state_key, KEY_PROGRESS "%s", c->id);
+	xasprintf(&progress_key, KEY_PROGRESS "%s", c->id);
 	t.expect[0] = (struct kv_condition){PF_CONFIG_KEY, config->revision};
 	t.expect[1] = (struct kv_condition){job_key, 0};
 	t.write[0] = (struct kv_write){job_key, spec.data, spec.len, 0};
-	t.write[1] = (struct kv_write){state_key, state.data, state.len, 0};
+	t.write[1] = (struct kv_write){progress_key, state.data, state.len, 0};
 	t.timeout = c->outcome_unknown ? SUBMIT_RETRY_TIMEOUT : FIRST_SUBMIT_TIMEOUT;
 	kv_commit(c->entry->p->kv, &t, on_submit_stored, c);
 	bytes_clear(&spec);
@@ -191,7 +193,7 @@
 	if (c->spec.steps == NULL) {
 		c->spec.id = xstrdup(c->id);
 		if (!pf_job_parse(http_body(c->request), &c->spec, &err)) {
-			entry_call_deny(c, 400, 0, err->message);
+			entry_call_reply_error(c, 400, 0, err->message);
 			return;
 		}
 		c->spec.accepted_ms = clock_wall(loop_clock(c->entry->p->loop)) / NSEC_PER_MSEC;
@@ -233,7 +235,7 @@
 	uint32_t state;
 
 	if (r->status == KV_REFUSED || r->status == KV_OUTCOME_UNKNOWN) {
-		entry_call_deny(c, 503, RETRY_AFTER_S, "the store does not answer");
+		entry_call_reply_error(c, 503, RETRY_AFTER_S, "the store does not answer");
 		return;
 	}
 	histogram_add(&state_seconds, loop_now(c->entry->p->loop) - c->arrived);
@@ -253,7 +255,7 @@
 {
 	struct entry_call *c = arg;
 
-	config_feed_observe(c->entry->feed, r);
+	config_feed_apply_result(c->entry->feed, r);
 	if (r->status == KV_OK) {
 		event_log(EV_CANCEL, "job=%s status=200", c->id);
 		reply(c, 200, NULL);
@@ -261,7 +263,7 @@
 	}
 	c->tries++;
 	if (retries_exhausted(c) || r->status == KV_REFUSED)
-		entry_call_deny(c, 503, RETRY_AFTER_S, "the store does not answer");
+		entry_call_reply_error(c, 503, RETRY_AFTER_S, "the store does not answer");
 	else if (r->status == KV_CONFLICT)
 		reroute(c);
 	else
@@ -281,7 +283,8 @@
 	if (r->status == KV_REFUSED || r->status == KV_OUTCOME_UNKNOWN) {
 		c->tries++;
 		if (retries_exhausted(c) || r->status == KV_REFUSED)
-			entry_call_deny(c, 503, RETRY_AFTER_S, "the store does not answer");
+			entry_call_reply_error(
+				c, 503, RETRY_AFTER_S, "the store does not answer");
 		else
 			cancel_job(c);
 		return;
@@ -339,8 +342,9 @@
 			    &wl_progress_fields, &p, it->value.data, it->value.len, NULL))
 			continue;
 		if (p.state == WL_QUEUED && p.queue != NULL) {
-			n = GPOINTER_TO_SIZE(g_hash_table_lookup(e->queue_depth_next, p.queue));
-			g_hash_table_replace(e->queue_depth_next, g_strdup(p.queue),
+			n = GPOINTER_TO_SIZE(
+				g_hash_table_lookup(e->queue_depth_partial, p.queue));
+			g_hash_table_replace(e->queue_depth_partial, g_strdup(p.queue),
 				GSIZE_TO_POINTER(n + 1));
 		}
 		fields_clear(&wl_progress_fields, &p);
@@ -353,19 +357,19 @@
 	e->queue_depth_reading = false;
 	if (r->status == KV_OK) {
 		g_hash_table_destroy(e->queue_depth);
-		e->queue_depth = e->queue_depth_next;
+		e->queue_depth = e->queue_depth_partial;
 		e->queue_depth_at = loop_now(e->p->loop);
 	} else {
-		g_hash_table_destroy(e->queue_depth_next);
+		g_hash_table_destroy(e->queue_depth_partial);
 	}
-	e->queue_depth_next = NULL;
+	e->queue_depth_partial = NULL;
 	waiters = g_steal_pointer(&e->queue_depth_waiters);
 	e->queue_depth_waiters = g_ptr_array_new();
 	for (guint i = 0; i < waiters->len; i++) {
 		if (r->status == KV_OK)
 			reply_depth(waiters->pdata[i]);
 		else
-			entry_call_deny(waiters->pdata[i], 503, RETRY_AFTER_S,
+			entry_call_reply_error(waiters->pdata[i], 503, RETRY_AFTER_S,
 				"the store does not answer");
 	}
 }
@@ -373,8 +377,8 @@
 /* Reads the next page of progress records; a stale read is cheap and recent enough here. */
 static void read_depth_page(struct wl_entry *e, const char *after)
 {
-	if (e->queue_depth_next == NULL)
-		e->queue_depth_next =
+	if (e->queue_depth_partial == NULL)
+		e->queue_depth_partial =
 			g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	e->queue_depth_reading = true;
 	kv_list(e->p->kv, KEY_PROGRESS, after, KV_READ_STALE, on_depth_page_read, e);
@@ -400,10 +404,10 @@
 static bool authenticate(
 	struct entry_call *c, const struct wl_config *config, const struct wl_queue *q)
 {
-	const struct wl_org *org = wl_config_key(config, c->key);
+	const struct wl_org *org = wl_config_key(config, c->api_key);
 
 	if (org == NULL && !q->open) {
-		entry_call_deny(c, 401, 0, "the key is not known");
+		entry_call_reply_error(c, 401, 0, "the key is not known");
 		return false;
 	}
 	c->org = org != NULL ? xstrdup(org->name) : NULL;
@@ -418,7 +422,7 @@
 	const char *rest;
 
 	if (q == NULL) {
-		entry_call_deny(c, 404, 0, "there is no such queue");
+		entry_call_reply_error(c, 404, 0, "there is no such queue");
 		return;
 	}
 	rest = c->path + strlen(q->prefix);
@@ -443,7 +447,7 @@
 		begin_depth(c);
 		return;
 	case PF_CALL_OTHER:
-		entry_call_deny(c, 405, 0, "there is no such call");
+		entry_call_reply_error(c, 405, 0, "there is no such call");
 		return;
 	}
 }
@@ -456,7 +460,8 @@
 
 	if (config == NULL ||
 		config_feed_verified_at(feed) < c->arrived - CONFIG_VERIFY_SLACK) {
-		entry_call_deny(c, 503, RETRY_AFTER_S, "the configuration cannot be confirmed");
+		entry_call_reply_error(
+			c, 503, RETRY_AFTER_S, "the configuration cannot be confirmed");
 		return;
 	}
 	dispatch(c, config);
@@ -477,12 +482,12 @@
 	const struct wl_config *config = config_feed_get(c->entry->feed);
 
 	if (store_is_down(c->entry) && !c->outcome_unknown) {
-		entry_call_deny(c, 503, RETRY_AFTER_S, "the store does not answer");
+		entry_call_reply_error(c, 503, RETRY_AFTER_S, "the store does not answer");
 		return;
 	}
 	if (strcmp(http_method(c->request), "POST") == 0 && config != NULL &&
 		wl_config_route(config, c->host, c->path) != NULL &&
-		wl_config_key(config, c->key) != NULL) {
+		wl_config_key(config, c->api_key) != NULL) {
 		dispatch(c, config);
 		return;
 	}
--- a/packages/daemon/wl-entry.c
+++ b/packages/daemon/wl-entry.c
@@ -45,7 +45,7 @@
 	c->request = r;
 	c->host = xstrdup(http_header(r, "Host"));
 	c->path = xstrdup(http_path(r));
-	c->key = pf_api_key_parse(http_header(r, "Authorization"));
+	c->api_key = pf_api_key_parse(http_header(r, "Authorization"));
 	c->arrived = clock_now(loop_clock(e->p->loop));
 	c->deadline =
 		c->arrived + (timeout > REPLY_MARGIN ? MIN(timeout - REPLY_MARGIN, CALL_TIMEOUT)
--- a/packages/daemon/wl-process.c
+++ b/packages/daemon/wl-process.c
@@ -17,7 +17,7 @@
 /* A store call that takes longer counts as unanswered. */
 #define STORE_CALL_TIMEOUT (1200 * NSEC_PER_MSEC)
 
-struct wl_program {
+struct wl_daemon {
 	struct wl_process process;
 	struct wl_entry *entry;
 	struct wl_agent *agent;
@@ -48,7 +48,7 @@
 /* While stopping: exits once nothing is in flight, or at the deadline. */
 static void exit_if_idle(void *arg)
 {
-	struct wl_program *p = arg;
+	struct wl_daemon *p = arg;
 	bool idle = (p->entry == NULL || wl_entry_idle(p->entry)) &&
 		    (p->agent == NULL || wl_agent_idle(p->agent));
 
@@ -59,7 +59,7 @@
 }
 
 /* Reads the settings again and logs the result; they take effect at the next restart. */
-static void check_settings(struct wl_program *p)
+static void check_settings(struct wl_daemon *p)
 {
 	struct pf_settings s;
 	g_autoptr(GError) err = NULL;
@@ -75,7 +75,7 @@
 
 static void on_signal(uint32_t events, void *arg)
 {
-	struct wl_program *p = arg;
+	struct wl_daemon *p = arg;
 	struct signalfd_siginfo info;
 
 	(void)events;
@@ -99,7 +99,7 @@
 }
 
 /* Serves metrics unless port is 0. */
-static bool start_metrics_server(struct wl_program *p, int64_t port, GError **err)
+static bool start_metrics_server(struct wl_daemon *p, int64_t port, GError **err)
 {
 	const struct http_limits limits = {
 		.body_max = 1024, .connections_max = 16, .idle_timeout_s = 30, .threads = 1};
@@ -113,7 +113,7 @@
 }
 
 /* Sets up what both roles need. */
-static bool init_process(struct wl_program *p, const struct options *o, GError **err)
+static bool init_process(struct wl_daemon *p, const struct options *o, GError **err)
 {
 	struct wl_process *w = &p->process;
 
@@ -133,7 +133,7 @@
 /* Runs a role until the process is stopped; returns the exit status. */
 int wl_process_run(enum wl_role role, const struct options *o)
 {
-	struct wl_program p = {.signal_fd = process_open_signalfd(true)};
+	struct wl_daemon p = {.signal_fd = process_open_signalfd(true)};
 	g_autoptr(GError) err = NULL;
 	bool ok = init_process(&p, o, &err);
 
--- a/packages/daemon/wl-worker-order.c
+++ b/packages/daemon/wl-worker-order.c
@@ -101,7 +101,7 @@
 	else if (r.kind == PF_REPLY_OK)
 		s->voided_at = worker_now(w);
 	else
-		s->sent_at = worker_now(w);
+		s->last_try_at = worker_now(w);
 	order_call_free(c, &r);
 }
 
@@ -122,7 +122,7 @@
 		} else if (s->voided_at > 0) {
 			if (requested_at > s->voided_at)
 				resolve_start(w, s, WL_ANSWER_REFUSED_OTHER);
-		} else if (worker_now(w) - s->sent_at > UNLISTED_START_WAIT) {
+		} else if (worker_now(w) - s->last_try_at > UNLISTED_START_WAIT) {
 			s->call_pending = true;
 			worker_send_call(w,
 				pf_worker_stop(w->p->settings.worker_addr, w->heartbeat.id,
@@ -178,7 +178,7 @@
 	counter_add(&starts_total, 1);
 	s->call_pending = true;
 	s->send_count++;
-	s->sent_at = worker_now(w);
+	s->last_try_at = worker_now(w);
 	worker_send_call(w,
 		pf_worker_start(w->p->settings.worker_addr, w->heartbeat.id, w->term, deadline,
 			s->payload, &start),
@@ -204,7 +204,7 @@
  * Whether a start that was refused as stale may have run: if it was sent before, the worker may
  * have run it and listed its end, which the coordinator has to see first.
  */
-static bool may_have_ended(const struct pending_start *s, enum pf_reply_kind k)
+static bool may_have_run(const struct pending_start *s, enum pf_reply_kind k)
 {
 	return k == PF_REPLY_STALE_ATTEMPT && s->send_count > 1;
 }
@@ -217,13 +217,13 @@
 	struct pf_reply r;
 
 	order_parse_reply(c, &r);
-	histogram_add(&start_seconds, worker_now(w) - s->sent_at);
+	histogram_add(&start_seconds, worker_now(w) - s->last_try_at);
 	s->call_pending = false;
 	if (s->dropped) {
 		pending_start_free(s);
 	} else if (r.kind == PF_REPLY_NO_ANSWER) {
 		handle_unanswered_start(w, s);
-	} else if (may_have_ended(s, r.kind)) {
+	} else if (may_have_run(s, r.kind)) {
 		s->outcome_unknown = true;
 		s->voided_at = worker_now(w);
 	} else {
@@ -241,7 +241,7 @@
 }
 
 /* Starts tasks; refuses orders of another term or instance, and all without authority. */
-void wl_worker_start(struct wl_worker *w, const struct wl_start_order *o)
+void wl_worker_start_tasks(struct wl_worker *w, const struct wl_start_order *o)
 {
 	int64_t deadline = worker_lease_deadline(w);
 	bool current = is_current(w, o->term, o->life);
@@ -298,7 +298,7 @@
 	s->instance = xstrdup(o->life);
 	s->task = xstrdup(o->task);
 	s->attempt = o->attempt;
-	s->sent_at = worker_now(w);
+	s->last_try_at = worker_now(w);
 	s->outcome_unknown = true;
 	s->call_pending = true;
 	g_ptr_array_add(w->pending_starts, s);
@@ -341,7 +341,7 @@
 }
 
 /* Stops a run; the coordinator orders it again while the run goes on. */
-void wl_worker_stop(struct wl_worker *w, const struct wl_stop_order *o)
+void wl_worker_stop_run(struct wl_worker *w, const struct wl_stop_order *o)
 {
 	struct pending_stop *s;
 
@@ -365,7 +365,7 @@
 }
 
 /* Throttles a run to a percentage of its speed; 100 is full speed. */
-void wl_worker_pace(struct wl_worker *w, const struct wl_pace_order *o)
+void wl_worker_pace_run(struct wl_worker *w, const struct wl_pace_order *o)
 {
 	if (!is_current(w, o->term, o->life))
 		return;
--- a/packages/daemon/wl-worker-private.h
+++ b/packages/daemon/wl-worker-private.h
@@ -20,7 +20,7 @@
 	char *checkpoint;
 	char *ticket;
 	unsigned int send_count;
-	int64_t sent_at;
+	int64_t last_try_at;
 	bool outcome_unknown; /* to be found out from the worker's lists */
 	bool call_pending;
 	int64_t voided_at; /* when the worker ruled out that it still starts; 0 before */
@@ -54,7 +54,7 @@
 	GPtrArray *pending_starts;
 	/* The call that renews the leases and asks for the worker's lists. */
 	bool renewal_pending;
-	uint64_t renewal_covers;
+	uint64_t renewal_settled_ordinal;
 	int64_t renewal_sent_at;
 	struct loop_timer *renewal_timer;
 };
--- a/packages/daemon/wl-worker.c
+++ b/packages/daemon/wl-worker.c
@@ -13,7 +13,7 @@
  */
 
 /* How long the worker may hold back its lists while no run ends. */
-#define LIST_WAIT_MS 1000
+#define RENEWAL_WAIT_MS 1000
 /* Pause after a failed call. */
 #define RENEWAL_RETRY_DELAY (250 * NSEC_PER_MSEC)
 /* Time for the coordinator to store ended runs before the lists are requested again. */
@@ -21,7 +21,7 @@
 /* A worker that has sent no heartbeat for this long is considered gone. */
 #define HEARTBEAT_TIMEOUT (8 * NSEC_PER_SEC)
 
-static void renew_leases(struct wl_worker *w);
+static void renew_and_list(struct wl_worker *w);
 
 static int64_t worker_now(const struct wl_worker *w)
 {
@@ -94,7 +94,7 @@
 	out.node = w->p->settings.node;
 	out.life = w->instance;
 	out.left = w->left;
-	out.covers = w->renewal_covers;
+	out.covers = w->renewal_settled_ordinal;
 	out.sent_ns = (uint64_t)w->renewal_sent_at;
 	out.runs = r->runs;
 	out.runs_len = r->runs_len;
@@ -108,7 +108,7 @@
 	struct wl_worker *w = arg;
 
 	w->renewal_timer = NULL;
-	renew_leases(w);
+	renew_and_list(w);
 }
 
 static void schedule_renewal(struct wl_worker *w, int64_t pause)
@@ -147,7 +147,7 @@
 		if (r.kind == PF_REPLY_OK && w->ends_listed > w->ends_stored)
 			schedule_renewal(w, ENDS_STORE_DELAY);
 		else if (r.kind == PF_REPLY_OK)
-			renew_leases(w);
+			renew_and_list(w);
 		else
 			schedule_renewal(w, RENEWAL_RETRY_DELAY);
 	}
@@ -167,12 +167,12 @@
 }
 
 /* Renews the leases and requests the lists, as long as there is a coordinator. */
-static void renew_leases(struct wl_worker *w)
+static void renew_and_list(struct wl_worker *w)
 {
-	struct pf_lease_renewal h = {.fence = w->term,
+	struct pf_lease_renewal renewal = {.fence = w->term,
 		.ends_stored = ends_to_acknowledge(w),
 		.deadline_ms = worker_lease_deadline(w),
-		.wait_ms = LIST_WAIT_MS};
+		.wait_ms = RENEWAL_WAIT_MS};
 
 	if (w->renewal_pending || w->renewal_timer != NULL || w->term == 0 ||
 		w->heartbeat.id == NULL || w->left)
@@ -183,15 +183,15 @@
 	}
 	/* Without the worker's clock no lease can be renewed: get it without a wait. */
 	if (w->clock_at == 0)
-		h.wait_ms = 0;
+		renewal.wait_ms = 0;
 	else if (worker_has_unknown_starts(w))
-		h.wait_ms = LIST_WAIT_MS / 10;
+		renewal.wait_ms = RENEWAL_WAIT_MS / 10;
 	w->renewal_pending = true;
-	w->renewal_covers = worker_settled_ordinal(w);
+	w->renewal_settled_ordinal = worker_settled_ordinal(w);
 	w->renewal_sent_at = worker_now(w);
 	worker_send_call(w,
-		pf_worker_renew_leases(w->p->settings.worker_addr, w->heartbeat.id, &h), NULL,
-		renewal_done);
+		pf_worker_renew_leases(w->p->settings.worker_addr, w->heartbeat.id, &renewal),
+		NULL, renewal_done);
 }
 
 void wl_worker_ack_ends(struct wl_worker *w, const struct wl_stored *s)
@@ -201,7 +201,7 @@
 	if (w->renewal_timer != NULL && w->ends_listed <= w->ends_stored) {
 		loop_timer_del(w->p->loop, w->renewal_timer);
 		w->renewal_timer = NULL;
-		renew_leases(w);
+		renew_and_list(w);
 	}
 }
 
@@ -213,10 +213,10 @@
 	w->last_start_ordinal = 0;
 	while (w->pending_starts->len > 0)
 		worker_drop_start(w, w->pending_starts->pdata[0]);
-	renew_leases(w);
+	renew_and_list(w);
 }
 
-void wl_worker_set_start_ordinal(struct wl_worker *w, uint64_t ordinal)
+void wl_worker_note_start_ordinal(struct wl_worker *w, uint64_t ordinal)
 {
 	w->last_start_ordinal = MAX(w->last_start_ordinal, ordinal);
 }
@@ -227,7 +227,7 @@
 
 	w->authority_until = until;
 	if (!had_authority)
-		renew_leases(w);
+		renew_and_list(w);
 }
 
 /* Processes the latest heartbeat, on the loop. */
@@ -259,11 +259,11 @@
 		const struct pf_reply none = {0};
 
 		w->renewal_sent_at = worker_now(w);
-		w->renewal_covers = w->last_start_ordinal;
+		w->renewal_settled_ordinal = w->last_start_ordinal;
 		report_runs(w, &none);
 		return;
 	}
-	renew_leases(w);
+	renew_and_list(w);
 }
 
 /* Receives a heartbeat, on a thread of the server. */
