--- a/packages/daemon/wl-daemon.h
+++ b/packages/daemon/wl-daemon.h
@@ -7,16 +7,38 @@
 #include "transport.h"
 #include "workload.h"
 
-/* Store keys. The coordinator watches the inbox prefix, under which entries write. */
+/*
+ * The daemon of the workload scheduler. "wl" is short for workload: struct wl, and what is
+ * declared with it in workload.h, is the scheduler core. This folder's wl-*.c files give it a
+ * store, a network and a clock.
+ *
+ * Terms used in these files:
+ * - A node is a VM on which an agent and a worker run, named by the setting node. A node has
+ *   expired once it was out of reach for so long that nothing can still be running there
+ *   (wl_nodes_expired).
+ * - A term is the numbered period in which one agent is the coordinator. A higher term replaces
+ *   all lower ones. Calls to a worker carry the term as their fencing token.
+ * - A store lease is the store's: the coordinator's key expires with it. All other leases are
+ *   those of runs: the worker ends a run whose lease is not renewed.
+ */
+
+/*
+ * Store keys. The coordinator watches all keys below the inbox prefix: jobs and cancellations,
+ * which entries write, and the term, which a campaigning agent writes. The term is there so
+ * that a replaced coordinator learns of its successor from the watch.
+ */
 #define KEY_INBOX	     "dp/in/"
 #define KEY_JOB		     "dp/in/job/"
 #define KEY_CANCEL	     "dp/in/cancel/"
 #define KEY_TERM	     "dp/in/term"
-#define KEY_PROGRESS	     "dp/state/"
+#define KEY_PROGRESS	     "dp/state/" /* wl_progress of a job, by its id */
 #define KEY_COORDINATOR_ADDR "dp/lead"
-#define KEY_NODE	     "dp/node/"
+#define KEY_NODE	     "dp/node/" /* exists while the node may run tasks */
 
-/* Resources shared by the parts of a process, whatever its role. */
+/*
+ * What the parts of a process share, whatever its role. The process itself, with its role and
+ * signals, is struct wl_daemon in wl-process.c.
+ */
 struct wl_process {
 	struct loop *loop;
 	struct pf_settings settings;
@@ -33,7 +55,10 @@
 const struct wl_config *config_feed_get(const struct config_feed *f);
 /* Time since the last successful verification; INT64_MAX before the first. */
 int64_t config_feed_age(const struct config_feed *f);
-/* When the last successful verification was sent, on the loop's clock; 0 before the first. */
+/*
+ * When the request was sent whose reply last verified the configuration, on the loop's clock; 0
+ * before the first.
+ */
 int64_t config_feed_verified_at(const struct config_feed *f);
 /*
  * Takes the result of a store call that was conditional on the configuration: a success
@@ -41,12 +66,16 @@
  */
 void config_feed_apply_result(struct config_feed *f, const struct kv_result *r);
 /*
- * Makes sure that the configuration was verified by a request sent at or after since. fn is
- * called once it was, at once if it has been already, or when the store cannot be reached.
+ * Has the configuration verified by a request sent at or after since, then calls fn; calls it
+ * at once if this is already the case. fn is also called if the store can't be reached, without
+ * a verification, so it has to look at config_feed_verified_at.
  */
 void config_feed_refresh(struct config_feed *f, int64_t since, loop_fn *fn, void *arg);
 
-/* wl-detour.c: relays an entry's store calls through the coordinator's process. */
+/*
+ * wl-detour.c: relays an entry's store calls through the coordinator's process, which forwards
+ * them to the store. This relay is called a detour; kv_via_peer tells whether it is in use.
+ */
 struct wl_detour;
 struct wl_detour *wl_detour_new(struct wl_process *p);
 
@@ -64,7 +93,7 @@
 	enum pf_call_kind kind;
 	char *host;
 	char *path;
-	char *api_key;
+	char *api_key; /* from the Authorization header */
 	struct wl_spec spec;
 	char *id;
 	const char *queue; /* a copy, as the configuration may be replaced during the call */
@@ -86,10 +115,10 @@
 	int64_t stop_at;
 	/* Number of jobs per queue that have not started, as of queue_depth_at. */
 	GHashTable *queue_depth;
-	GHashTable *queue_depth_partial;
+	GHashTable *queue_depth_partial; /* the count that is under way, page by page */
 	int64_t queue_depth_at;
 	bool queue_depth_reading;
-	GPtrArray *queue_depth_waiters;
+	GPtrArray *queue_depth_waiters; /* entry_calls that wait for the count under way */
 };
 void entry_call_route(struct entry_call *c);
 void entry_call_reply_error(
@@ -98,16 +127,18 @@
 /* wl-coord.c: the coordinator, which runs in the agent that holds the term. */
 struct wl_coord;
 struct wl_coord_events {
-	/* The term is lost; the owner has to free the coordinator. */
+	/* The term is lost; the agent that created the coordinator has to free it. */
 	void (*term_lost)(void *arg);
 	void *arg;
 };
+/* store_lease is the id of the store lease with which the term was acquired. */
 struct wl_coord *wl_coord_new(struct wl_process *p, uint64_t term, int64_t term_revision,
 	int64_t store_lease, const struct wl_coord_events *ev);
 void wl_coord_free(struct wl_coord *c);
 void wl_coord_stop(struct wl_coord *c);
 bool wl_coord_idle(const struct wl_coord *c);
 uint64_t wl_coord_term(const struct wl_coord *c);
+/* Handles a message that an agent has sent. */
 void wl_coord_handle_message(
 	struct wl_coord *c, struct peer_net *net, peer_id peer, struct wl_msg *m);
 void wl_coord_handle_peer_closed(struct wl_coord *c, peer_id peer);
@@ -119,6 +150,7 @@
 	int64_t term_revision, record_stored_fn *on_stored, loop_fn *on_term_lost, void *arg);
 void record_writer_free(struct record_writer *r);
 void record_writer_mark_dirty(struct record_writer *r, const char *id);
+/* Notes a revision in the store that the job's progress record has at least. */
 void record_writer_note_revision(struct record_writer *r, const char *id, int64_t revision);
 void record_writer_remove_job(struct record_writer *r, const char *id);
 void record_writer_set_node(struct record_writer *r, const char *node, bool present);
@@ -136,7 +168,11 @@
 /* wl-worker.c: the agent's client for the worker on the same VM. */
 struct wl_worker;
 struct wl_worker_events {
-	/* The worker's lists of runs were updated; covers and sent_ns are set. */
+	/*
+	 * The worker's lists of runs were received. covers is the ordinal up to which the
+	 * outcome of every start was known when the lists were requested, and sent_ns is the
+	 * time of that request.
+	 */
 	void (*report)(const struct wl_report *r, void *arg);
 	void (*answer)(const struct wl_answer_note *a, void *arg);
 	/* The worker has seen a higher fencing token than this agent's. */
@@ -147,12 +183,22 @@
 	struct wl_process *p, const struct wl_worker_events *ev, GError **err);
 void wl_worker_free(struct wl_worker *w);
 bool wl_worker_idle(const struct wl_worker *w);
-/* Sets the coordinator's term, 0 for none; open starts of another term are dropped. */
+/*
+ * Sets the coordinator's term, 0 for none. A change drops all pending starts: their outcome is
+ * not reported.
+ */
 void wl_worker_set_term(struct wl_worker *w, uint64_t term);
-/* Start orders up to this ordinal have arrived, or were lost in transit and will not arrive. */
+/*
+ * Each start of a task has an ordinal. Those up to this one have arrived, or were lost in
+ * transit and will not arrive.
+ */
 void wl_worker_note_start_ordinal(struct wl_worker *w, uint64_t ordinal);
-/* Leases may be renewed until this time. */
+/*
+ * The agent's authority: until this time, on the loop's clock in ns, it may have tasks started
+ * and the leases of runs renewed for the coordinator. See AUTHORITY_MAX.
+ */
 void wl_worker_set_authority(struct wl_worker *w, int64_t until);
+/* Carry out an order of the coordinator. */
 void wl_worker_start_tasks(struct wl_worker *w, const struct wl_start_order *o);
 void wl_worker_stop_run(struct wl_worker *w, const struct wl_stop_order *o);
 void wl_worker_pace_run(struct wl_worker *w, const struct wl_pace_order *o);
@@ -160,9 +206,11 @@
 void wl_worker_ack_ends(struct wl_worker *w, const struct wl_stored *s);
 
 /*
- * How long an agent may renew leases after the store last confirmed the coordinator's term.
- * Long enough to cover a takeover and a usual outage of the store. A task on an unreachable
- * agent may be started elsewhere only after this time and a lease have passed.
+ * How long an agent may renew the leases of runs after the store last confirmed the
+ * coordinator's term. Long enough to cover a takeover and a usual outage of the store. The last
+ * lease may be granted at the end of this time, so a task on an unreachable agent may be
+ * started elsewhere only after this time and the longest lease, with margins:
+ * wl_limits.silence_max, set in wl-coord.c.
  */
 #define AUTHORITY_MAX (4 * NSEC_PER_SEC)
 
