--- a/packages/daemon/wl-worker-private.h
+++ b/packages/daemon/wl-worker-private.h
@@ -18,12 +18,21 @@
 	/* Kept to send the start again. */
 	char *payload;
 	char *checkpoint;
-	char *ticket;
+	char *ticket; /* from the approval service; the worker checks it */
 	unsigned int send_count;
+	/*
+	 * When the start was last sent. Set again when a stop that was to void it has failed;
+	 * for a start that this process never sent, when it began to void it.
+	 */
 	int64_t last_try_at;
 	bool outcome_unknown; /* to be found out from the worker's lists */
 	bool call_pending;
-	int64_t voided_at; /* when the worker ruled out that it still starts; 0 before */
+	/*
+	 * A start is void once the worker can't carry it out any more; it may have done so
+	 * before, which its lists show. The start becomes void when the worker confirms a stop
+	 * of this attempt, or answers a repeated start with PF_REPLY_STALE_ATTEMPT. 0 before.
+	 */
+	int64_t voided_at;
 	bool dropped;
 };
 
@@ -40,21 +49,24 @@
 	bool heartbeat_posted;
 	int64_t heartbeat_at;
 	bool left;	/* its last heartbeat said that it is leaving */
-	char *instance; /* the worker's id and start time */
+	char *instance; /* the worker's id and start time; called life in messages */
 	int64_t instance_started_at;
 	/* The worker's clock as of clock_at on the agent's; clock_at is 0 if unknown. */
 	int64_t clock_ms;
 	int64_t clock_at;
-	uint64_t term; /* the coordinator's; 0 for none */
-	int64_t authority_until;
+	uint64_t term;		 /* the coordinator's; 0 for none */
+	int64_t authority_until; /* see wl_worker_set_authority */
 	uint64_t last_start_ordinal;
-	/* Highest number of an ended run that is stored, and that the worker has listed. */
-	uint64_t ends_stored;
-	uint64_t ends_listed;
+	/* The worker numbers the runs that have ended. */
+	uint64_t ends_stored; /* the coordinator has stored those up to this number */
+	uint64_t ends_listed; /* the worker has listed those up to this number */
 	GPtrArray *pending_starts;
-	/* The call that renews the leases and asks for the worker's lists. */
+	/*
+	 * The renewal: a single call that renews the leases, if they may be, and requests the
+	 * worker's lists of runs.
+	 */
 	bool renewal_pending;
-	uint64_t renewal_settled_ordinal;
+	uint64_t renewal_settled_ordinal; /* worker_settled_ordinal when it was sent */
 	int64_t renewal_sent_at;
 	struct loop_timer *renewal_timer;
 };
