--- a/packages/daemon/wl-coord-private.h
+++ b/packages/daemon/wl-coord-private.h
@@ -18,12 +18,16 @@
 struct wl_coord {
 	struct wl_process *p;
 	struct wl_coord_events ev;
-	struct wl *scheduler;
+	struct wl *scheduler; /* the scheduler core, workload.h */
 	struct record_writer *records;
 	struct config_feed *feed;
 	uint64_t term;
 	int64_t term_revision;
-	int64_t store_lease;
+	int64_t store_lease; /* id of the store lease of the coordinator's key */
+	/*
+	 * When the store last confirmed the term. After a renewal this is when its request was
+	 * sent; until the first one, when the coordinator was created.
+	 */
 	int64_t term_confirmed_at;
 	bool renewing_lease;
 	bool loaded;
@@ -41,17 +45,18 @@
 	struct loop_timer *pass_timer;
 	int64_t pass_ended;
 	int64_t pass_pause;
+	/* Repeats the listing at load, or the watch, after a failed store call. */
 	struct loop_timer *inbox_timer;
 	unsigned int jobs_read;
 };
 
 /* wl-coord.c */
 /*
- * Accounts for the end of a store call. Returns false if the coordinator was already freed by
- * its owner; it may have been deallocated then.
+ * To be called at the end of each store call: decrements calls_in_flight. Returns false if
+ * wl_coord_free was called before; the memory is freed here then if this was the last call.
  */
 bool coord_call_ended(struct wl_coord *c);
-/* Reports the loss of the term to the owner, which then frees the coordinator. */
+/* Reports the loss of the term to the agent, which then frees the coordinator. */
 void coord_lose_term(struct wl_coord *c, const char *why);
 /* Schedules a pass if an event since the last one may allow tasks to start. */
 void coord_request_pass(struct wl_coord *c);
