--- a/packages/daemon/wl-worker.c
+++ b/packages/daemon/wl-worker.c
@@ -12,9 +12,9 @@
  * coordinator.
  */
 
-/* How long the worker may hold back its lists while no run ends. */
+/* Long poll: how long the worker may hold back its lists while no run ends. */
 #define RENEWAL_WAIT_MS 1000
-/* Pause after a failed call. */
+/* Pause before the next renewal, after a failed one or while heartbeats are missing. */
 #define RENEWAL_RETRY_DELAY (250 * NSEC_PER_MSEC)
 /* Time for the coordinator to store ended runs before the lists are requested again. */
 #define ENDS_STORE_DELAY (150 * NSEC_PER_MSEC)
@@ -60,7 +60,7 @@
 	return worker_clock_ms(w) + w->p->settings.lease_max / NSEC_PER_MSEC;
 }
 
-/* Switches to another instance of the worker; starts pending at the last one are dropped. */
+/* Switches to another instance of the worker; drops the starts pending at the previous one. */
 static void begin_instance(struct wl_worker *w, const char *id, int64_t instance_started_at)
 {
 	free(w->instance);
@@ -85,7 +85,11 @@
 	}
 }
 
-/* Reports the worker's state and its lists, which r holds. */
+/*
+ * Reports the worker's state, as of its last heartbeat, and the lists in r. sent_ns is when the
+ * lists were requested, not when the report is sent: the authority that the coordinator's reply
+ * extends counts from it, and an earlier time only shortens that.
+ */
 static void report_runs(struct wl_worker *w, const struct pf_reply *r)
 {
 	struct wl_report out = w->heartbeat.worker_report;
@@ -133,7 +137,10 @@
 		if (r.kind == PF_REPLY_FENCED && wc->term == w->term)
 			w->events.fenced(w->events.arg);
 		if (r.kind == PF_REPLY_OK && wc->term == w->term && w->instance != NULL) {
-			/* Ended runs are reported first, so that none counts as a voided start.
+			/*
+			 * The report with the ended runs goes first: a void start whose run
+			 * has ended isn't listed as running and is answered as refused below.
+			 * The coordinator has to know of its end by then.
 			 */
 			report_runs(w, &r);
 			worker_resolve_unknown_starts(w, &r, w->renewal_sent_at);
@@ -166,7 +173,10 @@
 	return w->pending_starts->len > 0 ? 0 : w->ends_stored;
 }
 
-/* Renews the leases and requests the lists, as long as there is a coordinator. */
+/*
+ * Sends the renewal, as long as there is a coordinator and the worker has not left. Without
+ * authority or the worker's clock the deadline is 0: the call then only requests the lists.
+ */
 static void renew_and_list(struct wl_worker *w)
 {
 	struct pf_lease_renewal renewal = {.fence = w->term,
@@ -181,7 +191,7 @@
 		schedule_renewal(w, RENEWAL_RETRY_DELAY);
 		return;
 	}
-	/* Without the worker's clock no lease can be renewed: get it without a wait. */
+	/* No lease can be renewed until an answer gives the worker's clock: get it at once. */
 	if (w->clock_at == 0)
 		renewal.wait_ms = 0;
 	else if (worker_has_unknown_starts(w))
@@ -238,6 +248,7 @@
 
 	pthread_mutex_lock(&w->lock);
 	w->heartbeat_posted = false;
+	/* Of a worker that leaves (PF_HEARTBEAT_LEAVE) only the id is known. */
 	leaving = w->heartbeat_next.service == NULL;
 	if (!leaving) {
 		if (w->instance == NULL ||
@@ -258,6 +269,10 @@
 	if (w->left && w->term != 0 && w->instance != NULL) {
 		const struct pf_reply none = {0};
 
+		/*
+		 * A worker that has left runs nothing: its empty lists are up to date and
+		 * settle all starts.
+		 */
 		w->renewal_sent_at = worker_now(w);
 		w->renewal_settled_ordinal = w->last_start_ordinal;
 		report_runs(w, &none);
@@ -295,7 +310,7 @@
 struct wl_worker *wl_worker_new(
 	struct wl_process *p, const struct wl_worker_events *ev, GError **err)
 {
-	const struct http_limits limits = {.body_max = 4096 * 1024,
+	const struct http_limits limits = {.body_max = 4096 * 1024, /* bytes */
 		.connections_max = 64,
 		.idle_timeout_s = 120,
 		.threads = 1};
@@ -318,13 +333,16 @@
 	return NULL;
 }
 
-/* Whether no order is under way; a pending call for the lists doesn't count. */
+/* Whether no order is under way; a pending renewal doesn't count. */
 bool wl_worker_idle(const struct wl_worker *w)
 {
 	return w->calls_pending <= (w->renewal_pending ? 1u : 0u);
 }
 
-/* Called as the process ends: calls under way, and the memory they use, end with it. */
+/*
+ * Stops the server and frees the client. If calls are under way, the memory stays; the answer
+ * to a renewal then calls this again and frees it, if no other call is left.
+ */
 void wl_worker_free(struct wl_worker *w)
 {
 	if (w == NULL)
