--- a/packages/daemon/wl-worker-order.c
+++ b/packages/daemon/wl-worker-order.c
@@ -6,8 +6,8 @@
 
 /*
  * Orders to the worker of this VM. An order without an answer may have been carried out, or may
- * be later, so it is sent again. A start without an answer is voided by a stop before its task
- * may run elsewhere.
+ * be later, so it is sent again. A start that stays without an answer is voided by a stop (see
+ * pending_start.voided_at) before its task may run elsewhere.
  */
 
 COUNTER(starts_total, "damaskpath_starts_total", "Starts sent to the worker.");
@@ -15,11 +15,11 @@
 COUNTER(stops_total, "damaskpath_stops_total", "Stops sent to the worker.");
 HISTOGRAM(start_seconds, "damaskpath_start_seconds", "Time until the worker answers a start.");
 
-/* How often an order without an answer is sent; orders are idempotent. */
+/* Number of times that an order without an answer is sent in all; orders are idempotent. */
 #define ORDER_SENDS_MAX 3
 /*
- * A start without an answer may still show up in the worker's lists; one that has not after
- * this time is voided.
+ * A start without an answer may still show up in the worker's lists; one that has not this
+ * long after it was last sent is voided by a stop.
  */
 #define UNLISTED_START_WAIT (400 * NSEC_PER_MSEC)
 
@@ -86,7 +86,7 @@
 	http_call_free(c);
 }
 
-/* Handles the answer to a stop that voids a start; without success it is tried again later. */
+/* Handles the answer to a stop that voids a start; if it failed, it is sent again later. */
 static void void_stop_done(struct http_call *c, void *arg)
 {
 	struct worker_call *wc = arg;
@@ -141,7 +141,10 @@
 	return false;
 }
 
-/* The worker's answer to a start, as it is reported to the coordinator. */
+/*
+ * The worker's answer to a start, as it is reported to the coordinator: REFUSED_OLD for an
+ * attempt that is too old, REFUSED_ROOM for a lack of capacity.
+ */
 static enum wl_answer start_answer(enum pf_reply_kind k)
 {
 	switch (k) {
@@ -167,7 +170,10 @@
 
 static void start_done(struct http_call *c, void *arg);
 
-/* Sends a start, for the first time or again: a worker that already has the run confirms it. */
+/*
+ * Sends a start, for the first time or again: a worker that already has the run confirms it.
+ * Only starts of the current term are sent, so w->term is also theirs.
+ */
 static void start_send(struct wl_worker *w, struct pending_start *s, int64_t deadline)
 {
 	const struct wl_start start = {.task = s->task,
@@ -201,8 +207,9 @@
 }
 
 /*
- * Whether a start that was refused as stale may have run: if it was sent before, the worker may
- * have run it and listed its end, which the coordinator has to see first.
+ * Whether a start that the worker refuses as a stale attempt may have run: it was sent before,
+ * so the worker may have run it then. The coordinator has to get the end of that run, with the
+ * worker's next lists, before the start is reported as refused.
  */
 static bool may_have_run(const struct pending_start *s, enum pf_reply_kind k)
 {
@@ -240,7 +247,10 @@
 	return term == w->term && w->instance != NULL && g_strcmp0(instance, w->instance) == 0;
 }
 
-/* Starts tasks; refuses orders of another term or instance, and all without authority. */
+/*
+ * Starts tasks. Refuses the order if it is of another term or for another instance, and any
+ * order while this agent has no authority or doesn't know the worker's clock.
+ */
 void wl_worker_start_tasks(struct wl_worker *w, const struct wl_start_order *o)
 {
 	int64_t deadline = worker_lease_deadline(w);
@@ -278,9 +288,9 @@
 }
 
 /*
- * Voids a start that an earlier process of this agent may have sent, or that never arrived
- * here: once the stop is answered it can't start any more, and the next lists show whether it
- * had.
+ * Voids a start that an earlier process of this agent may have sent, or whose order never
+ * reached this agent. Once the worker has confirmed the stop, it can't start the task any more,
+ * and its next lists show whether it had started it before.
  */
 static void void_unknown_start(struct wl_worker *w, const struct wl_stop_order *o)
 {
@@ -340,13 +350,14 @@
 	order_call_free(c, &r);
 }
 
-/* Stops a run; the coordinator orders it again while the run goes on. */
+/* Stops a run, or voids a start. The coordinator orders a stop again while the run goes on. */
 void wl_worker_stop_run(struct wl_worker *w, const struct wl_stop_order *o)
 {
 	struct pending_stop *s;
 
 	if (!is_current(w, o->term, o->life))
 		return;
+	/* With an ordinal it is not an order to stop a run, but to void that start. */
 	if (o->ordinal != 0) {
 		void_unknown_start(w, o);
 		return;
