--- a/packages/daemon/wl-agent.c
+++ b/packages/daemon/wl-agent.c
@@ -15,7 +15,7 @@
 	"Coordinators that went out of reach.");
 
 #define TICK_PERIOD (100 * NSEC_PER_MSEC)
-/* A coordinator that has not answered a report for this long is looked up again. */
+/* The link is dropped if no heartbeat of the coordinator has arrived for this long. */
 #define LINK_TIMEOUT (2500 * NSEC_PER_MSEC)
 /* A coordinator whose term the store last confirmed longer ago may have been replaced. */
 #define TERM_AGE_MAX  (2000 * NSEC_PER_MSEC)
@@ -25,7 +25,7 @@
 #define DIAL_TIMEOUT (1000 * NSEC_PER_MSEC)
 /* A random delay up to this keeps agents from campaigning all at once. */
 #define CAMPAIGN_DELAY_MAX (150 * NSEC_PER_MSEC)
-/* TTL of the coordinator's key: how long a failed coordinator delays a takeover. */
+/* TTL of the store lease: how long a failed coordinator delays a takeover. */
 #define LEASE_TTL_MS 2500
 
 enum link_state {
@@ -46,18 +46,27 @@
 	enum link_state state;
 	peer_id peer;
 	char *coordinator_addr;
-	uint64_t term;
+	uint64_t term; /* of the last heartbeat; 0 before the first */
 	int64_t dialled_at;
-	int64_t heard_at;
+	int64_t heard_at; /* of the last heartbeat, or of the link's opening */
 	int64_t sent_at;  /* of the last report or ping */
-	int64_t term_age; /* since the store confirmed the term, as of heard_at */
+	/*
+	 * Time since the store confirmed the term, as of heard_at. 0 on a new link until the
+	 * first heartbeat, as it is not known yet.
+	 */
+	int64_t term_age;
 	/* Calls to the store. */
 	bool store_call_pending;
+	/*
+	 * When the last call was sent. 0 after the link was lost, so that the coordinator is
+	 * looked up without waiting for LOOKUP_PERIOD.
+	 */
 	int64_t store_call_at;
 	int64_t campaign_at; /* 0 for no campaign */
+	/* The term as last read from the store, or as written by this agent. */
 	int64_t stored_term_revision;
 	uint64_t stored_term;
-	int64_t store_lease; /* for the coordinator's key; 0 for none */
+	int64_t store_lease; /* id of the store lease for the coordinator's key; 0 for none */
 };
 
 static int64_t agent_now(const struct wl_agent *a)
@@ -113,7 +122,7 @@
 {
 	struct wl_agent *a = arg;
 
-	link_drop(a, "the worker has seen a higher term");
+	link_drop(a, "the worker has seen a higher fencing token");
 	wl_worker_set_term(a->worker, 0);
 }
 
@@ -145,7 +154,7 @@
 	a->coord = NULL;
 	a->store_lease = 0;
 	if (a->coordinator_addr != NULL && strcmp(a->coordinator_addr, a->own_addr) == 0)
-		link_drop(a, "its term has ended");
+		link_drop(a, "the coordinator's term has ended");
 }
 
 static void on_coord_term_lost(void *arg)
@@ -196,7 +205,10 @@
 			return;
 		}
 	}
-	/* Without an answer the key may have been written: its lease must not be reused. */
+	/*
+	 * Without an answer the key may have been written, so its store lease must not be
+	 * reused. KV_NOT_FOUND means that the store lease no longer exists.
+	 */
 	if (r->status == KV_OUTCOME_UNKNOWN || r->status == KV_NOT_FOUND)
 		a->store_lease = 0;
 	else if (r->status == KV_CONFLICT && !a->stopping)
@@ -230,7 +242,7 @@
 	write_term(a);
 }
 
-/* Tries to become the coordinator, with a lease that is requested first if needed. */
+/* Tries to become the coordinator, with a store lease that is requested first if needed. */
 static void campaign(struct wl_agent *a)
 {
 	if (a->store_call_pending || a->coord != NULL || a->stopping)
@@ -309,7 +321,10 @@
 	kv_get(a->p->kv, KEY_COORDINATOR_ADDR, KV_READ_EXACT, on_coordinator_read, a);
 }
 
-/* Whether there is no coordinator, or only one whose term confirmation is too old. */
+/*
+ * Whether there is no link to a coordinator and none is being opened, or only one to a
+ * coordinator in another process whose term the store confirmed too long ago.
+ */
 static bool needs_coordinator(const struct wl_agent *a)
 {
 	return a->state == LINK_NONE ||
@@ -360,11 +375,14 @@
 	send_to_coordinator(a, &m);
 }
 
-/* Adopts the coordinator's term, and extends the authority to renew leases. */
-static void handle_coordinator_beat(struct wl_agent *a, const struct wl_lead_beat *b)
+/*
+ * Handles the coordinator's heartbeat: adopts its term, and extends the authority to renew the
+ * leases of runs.
+ */
+static void handle_coordinator_heartbeat(struct wl_agent *a, const struct wl_lead_beat *b)
 {
 	if (b->term < a->term) {
-		link_drop(a, "its term is older than the last one seen");
+		link_drop(a, "the coordinator's term is older than the last one seen");
 		return;
 	}
 	if (b->term != a->term)
@@ -384,12 +402,12 @@
 	}
 }
 
-/* Handles a message from the coordinator. */
+/* Handles a message from the coordinator: its heartbeat, or an order or note for the worker. */
 static void handle_coordinator_message(struct wl_agent *a, struct wl_msg *m)
 {
 	switch (m->kind) {
 	case WL_MSG_LEAD_BEAT:
-		handle_coordinator_beat(a, &m->lead_beat);
+		handle_coordinator_heartbeat(a, &m->lead_beat);
 		break;
 	case WL_MSG_START:
 		wl_worker_start_tasks(a->worker, &m->start);
@@ -400,7 +418,7 @@
 	case WL_MSG_PACE:
 		wl_worker_pace_run(a->worker, &m->pace);
 		break;
-	case WL_MSG_STORED:
+	case WL_MSG_STORED: /* tells which ended runs are stored */
 		wl_worker_ack_ends(a->worker, &m->stored);
 		break;
 	case WL_MSG_HELLO:
@@ -522,7 +540,11 @@
 		wl_coord_stop(a->coord);
 }
 
-/* Whether the agent can exit: all orders are answered and the term is handed over. */
+/*
+ * Whether the agent can exit: no call that carries an order to the worker is under way, and a
+ * coordinator in this process writes no records. Doesn't wait for the store to revoke the lease
+ * of the coordinator's key, nor for starts that await the worker's lists.
+ */
 bool wl_agent_idle(const struct wl_agent *a)
 {
 	return a->stopping && wl_worker_idle(a->worker) &&
