--- a/packages/daemon/wl-config-feed.c
+++ b/packages/daemon/wl-config-feed.c
@@ -4,7 +4,8 @@
 #include <stdlib.h>
 
 /*
- * Keeps the configuration up to date by its revision in the store. A transaction without
+ * Keeps the configuration up to date by checking periodically whether its revision in the store
+ * is still the known one. A transaction without
  * writes, conditional on the known revision, verifies it without transferring the document; if
  * the revision has changed, the reply holds the new document.
  */
@@ -20,14 +21,14 @@
 	struct wl_process *p;
 	struct wl_config *config;
 	struct loop_timer *timer;
-	loop_fn *on_change;
+	loop_fn *on_change; /* called with arg when a newer configuration is in force */
 	void *arg;
 	int64_t period;
 	int64_t revision;
 	int64_t verified_at;
 	int64_t check_sent_at;
 	bool check_in_flight;
-	bool store_lost;
+	bool store_lost; /* the last check failed */
 	bool freed;
 	GArray *waiters;
 };
@@ -88,7 +89,7 @@
 	}
 }
 
-/* Calls the waiters whose condition is met, or all of them. */
+/* Calls and removes the waiters whose time has been verified, or all of them. */
 static void notify_waiters(struct config_feed *f, bool all)
 {
 	for (guint i = 0; i < f->waiters->len;) {
@@ -118,6 +119,7 @@
 		return;
 	}
 	config_feed_apply_result(f, r);
+	/* gap_ms is how long this check took, not how long the store was out of reach. */
 	if (ok && f->store_lost)
 		event_log(EV_STORE_BACK, "gap_ms=%" PRId64,
 			(loop_now(f->p->loop) - f->check_sent_at) / NSEC_PER_MSEC);
