--- a/packages/daemon/wl-coord-inbox.c
+++ b/packages/daemon/wl-coord-inbox.c
@@ -10,7 +10,10 @@
  * entries write.
  */
 
-/* A watch without events for longer may be on a dead connection; a new one is cheap. */
+/*
+ * A watch without events is ended after this time and replaced, which is cheap: its connection
+ * may be dead.
+ */
 #define WATCH_TIMEOUT_MS  1500
 #define STORE_RETRY_DELAY (200 * NSEC_PER_MSEC)
 
@@ -21,7 +24,7 @@
 static void read_job(struct wl_coord *c, const struct kv_item *it)
 {
 	struct wl_spec spec = {0};
-	const struct bytes *state;
+	const struct bytes *progress;
 	struct wl_progress p = {0};
 	bool has_progress = false;
 	g_autoptr(GError) err = NULL;
@@ -38,13 +41,21 @@
 		fields_clear(&wl_spec_fields, &spec);
 		return;
 	}
-	state = g_hash_table_lookup(c->stored_progress, id);
-	if (state != NULL)
-		has_progress =
-			fields_decode(&wl_progress_fields, &p, state->data, state->len, NULL);
+	progress = g_hash_table_lookup(c->stored_progress, id);
+	if (progress != NULL)
+		has_progress = fields_decode(
+			&wl_progress_fields, &p, progress->data, progress->len, NULL);
+	/*
+	 * The entry wrote the job and its progress record in one transaction, so the record has
+	 * at least the job's revision.
+	 */
 	record_writer_note_revision(c->records, id, it->revision);
 	for (uint32_t s = 0; s < spec.steps_len; s++)
 		tasks += spec.steps[s].count;
+	/*
+	 * tasks is the sum over all steps. accelerators, cores_m (thousandths of a core),
+	 * estimate_ms, gang and rack_local are those of the first step.
+	 */
 	event_log(EV_JOB_SEEN,
 		"job=%s queue=%s org=%s tasks=%" PRIu64
 		" accelerators=%u cores_m=%u estimate_ms=%u gang=%d rack_local=%d "
@@ -141,7 +152,7 @@
 	kv_watch(c->p->kv, KEY_INBOX, c->watch_revision, WATCH_TIMEOUT_MS, on_watch_result, c);
 }
 
-/* All pages were read: on the first load, announces the term and processes deferred reports. */
+/* All pages were read: on the first load, logs the term and processes the deferred reports. */
 static void on_inbox_complete(struct wl_coord *c)
 {
 	if (!c->loaded) {
@@ -163,7 +174,10 @@
 	list_inbox(c, NULL);
 }
 
-/* Returns whether a page was read; if the store failed, schedules retry after a delay. */
+/*
+ * Ends the call for a page and returns whether the page was read. If the store failed,
+ * schedules retry, which starts the listing again, after a delay.
+ */
 static bool finish_page_call(struct wl_coord *c, const struct kv_result *r, loop_fn *retry)
 {
 	if (!coord_call_ended(c) || c->term_lost)
