--- a/packages/daemon/wl-coord-records.c
+++ b/packages/daemon/wl-coord-records.c
@@ -19,20 +19,24 @@
 struct record {
 	char *id;
 	int64_t revision;
+	/*
+	 * Loop time in ns at which the record was last queued. A change during a transaction
+	 * and a failed transaction queue it again, so the time to store the first change may be
+	 * longer than the histogram tells.
+	 */
 	int64_t enqueued_at;
 	bool dirty;
 	bool remove;
-	/* Part of the transaction in flight, which writes this version of the progress. */
-	bool in_flight;
-	uint64_t version;
+	bool in_flight;	  /* the transaction in flight writes or removes the record */
+	uint64_t version; /* of the progress that this transaction writes */
 };
 
 /* A node's key in the store, which exists while the node may run tasks. */
 struct node_record {
 	char *name;
 	bool should_exist;
-	bool stored;
-	bool in_flight;
+	bool stored;	/* the key exists in the store */
+	bool in_flight; /* the transaction in flight writes or removes the key */
 };
 
 struct record_writer {
@@ -99,7 +103,6 @@
 	flush(r);
 }
 
-/* Notes the revision at which a job's record was read from the store. */
 void record_writer_note_revision(struct record_writer *r, const char *id, int64_t revision)
 {
 	struct record *rec = record_get(r, id);
@@ -248,6 +251,7 @@
 	for (guint i = 0; i < r->nodes->len; i++) {
 		struct node_record *n = r->nodes->pdata[i];
 
+		/* The transaction wrote the key if it was missing, and removed it otherwise. */
 		if (n->in_flight && res->status == KV_OK)
 			n->stored = !n->stored;
 		n->in_flight = false;
