--- a/packages/daemon/wl-coord.c
+++ b/packages/daemon/wl-coord.c
@@ -6,25 +6,30 @@
 
 /*
  * The coordinator: reads the accepted jobs from the store, watches the keys that entries write,
- * and schedules tasks on the agents connected to it. Each renewal of the lease on its key
- * confirms its term: no other process can take the key before that lease expires.
+ * and schedules tasks on the agents connected to it. Each renewal of the store lease of
+ * its key confirms its term: no other process can take the key before that lease expires.
  */
 
 COUNTER(passes_total, "damaskpath_passes_total", "Passes of the scheduler.");
 HISTOGRAM(pass_seconds, "damaskpath_pass_seconds", "Time of one pass of the scheduler.");
 
-#define CONFIG_PERIOD		 NSEC_PER_SEC
+#define CONFIG_PERIOD NSEC_PER_SEC
+/* Renewal of the store lease that holds the coordinator's key. */
 #define STORE_LEASE_RENEW_PERIOD (700 * NSEC_PER_MSEC)
 #define SWEEP_PERIOD		 (500 * NSEC_PER_MSEC)
 /* An agent reports about once a second; one silent for this long is considered unreachable. */
 #define AGENT_TIMEOUT (3500 * NSEC_PER_MSEC)
 /* No tasks are started if the store last confirmed the term longer ago than this. */
 #define START_TERM_AGE_MAX (3 * NSEC_PER_SEC)
-/* Allows for message delay and for a worker whose clock runs slow. */
-#define RUN_LEASE_MARGIN (400 * NSEC_PER_MSEC)
+/*
+ * Margins on the longest lease of a run: for message delay, and, as a part of the lease, for a
+ * worker whose clock runs up to 2% slow.
+ */
+#define RUN_LEASE_MARGIN   (400 * NSEC_PER_MSEC)
+#define SLOW_CLOCK_DIVISOR 50 /* adds 1/50 of the lease */
 /* The pause after a pass is as long as the pass, up to this limit. */
 #define PASS_PAUSE_MAX (100 * NSEC_PER_MSEC)
-/* Keeps ended jobs longer than promised, for callers that query the state late. */
+/* Keeps ended jobs longer than the setting ended_retention, for callers that query late. */
 #define RETENTION_MARGIN (30 * NSEC_PER_SEC)
 
 static void coord_free_if_idle(struct wl_coord *c);
@@ -114,7 +119,10 @@
 
 static void schedule_pass(struct wl_coord *c, int64_t delay);
 
-/* Runs a scheduling pass if the term is fresh enough, and schedules the next one. */
+/*
+ * Runs a scheduling pass if the store confirmed the term less than START_TERM_AGE_MAX ago, and
+ * schedules the next one.
+ */
 static void on_pass_timer(void *arg)
 {
 	struct wl_coord *c = arg;
@@ -142,8 +150,9 @@
 }
 
 /*
- * The pause between passes limits them to about half of the process's time, so that long passes
- * do not delay messages.
+ * The pause between passes lets the process handle messages. Passes of up to PASS_PAUSE_MAX
+ * take at most about half of its time; longer ones take more, as the pause does not grow with
+ * them.
  */
 void coord_request_pass(struct wl_coord *c)
 {
@@ -151,23 +160,31 @@
 		schedule_pass(c, MAX(c->pass_ended + c->pass_pause - loop_now(c->p->loop), 0));
 }
 
-/* Tells each agent up to which number the run ends that it reported are stored. */
+/*
+ * Acknowledges the ended runs that the agents have reported: tells each agent up to which
+ * number they are stored, unless it has been told already.
+ */
 static void send_stored(struct wl_coord *c)
 {
 	for (guint i = 0; i < c->agents->len; i++) {
 		struct agent_conn *agent = c->agents->pdata[i];
 		struct wl_msg msg = {.kind = WL_MSG_STORED, .stored.term = c->term};
-		const char *life;
+		const char *instance; /* the worker's id and start time */
 
-		if (!wl_node_ends_stored(c->scheduler, agent->node, &life, &msg.stored.number))
+		if (!wl_node_ends_stored(
+			    c->scheduler, agent->node, &instance, &msg.stored.number))
 			continue;
-		msg.stored.life = (char *)life;
+		msg.stored.life = (char *)instance;
 		send_to_node(c, agent->node, &msg);
 	}
 }
 
-/* Replies to an agent with the age of the term and the number of the last start order. */
-static void send_beat(struct wl_coord *c, const struct agent_conn *agent, uint64_t echo)
+/*
+ * Sends an agent the coordinator's heartbeat, with the age of the term and the ordinal of the
+ * last start. It is the reply to the agent's message whose sent_ns is echo; 0 for none.
+ */
+static void send_coordinator_heartbeat(
+	struct wl_coord *c, const struct agent_conn *agent, uint64_t echo)
 {
 	struct wl_msg msg = {.kind = WL_MSG_LEAD_BEAT,
 		.lead_beat = {.term = c->term,
@@ -188,7 +205,7 @@
 	coord_request_pass(c);
 }
 
-/* Records were stored: processes the reports that waited for them and acknowledges run ends. */
+/* Records were stored: processes the reports that waited for them, acknowledges ended runs. */
 static void on_records_stored(void *arg)
 {
 	struct wl_coord *c = arg;
@@ -220,7 +237,7 @@
 {
 	if (msg->report.node == NULL || strcmp(msg->report.node, agent->node) != 0)
 		return;
-	send_beat(c, agent, msg->report.sent_ns);
+	send_coordinator_heartbeat(c, agent, msg->report.sent_ns);
 	if (agent->has_pending_report)
 		wl_msg_clear(&agent->pending_report);
 	agent->has_pending_report = false;
@@ -254,10 +271,13 @@
 	agent->net = net;
 	agent->peer = peer;
 	agent->last_heard = loop_now(c->p->loop);
-	send_beat(c, agent, 0);
+	send_coordinator_heartbeat(c, agent, 0);
 }
 
-/* Handles a message from an agent; those from unknown peers or for another term are ignored. */
+/*
+ * Handles a message from an agent. Peers that have sent no hello are ignored, and so are
+ * reports and answers of another term; a ping is answered whatever its term.
+ */
 void wl_coord_handle_message(
 	struct wl_coord *c, struct peer_net *net, peer_id peer, struct wl_msg *msg)
 {
@@ -275,7 +295,7 @@
 		return;
 	agent->last_heard = loop_now(c->p->loop);
 	if (msg->kind == WL_MSG_PING) {
-		send_beat(c, agent, msg->ping.sent_ns);
+		send_coordinator_heartbeat(c, agent, msg->ping.sent_ns);
 	} else if (msg->kind == WL_MSG_REPORT && msg->report.term == c->term) {
 		on_report(c, agent, msg);
 	} else if (msg->kind == WL_MSG_ANSWER && msg->answer.term == c->term) {
@@ -306,8 +326,8 @@
 }
 
 /*
- * Handles the reply to a lease renewal. The term is confirmed as of when the request was sent,
- * since the lease may have been renewed any time after that.
+ * Handles the reply to a renewal of the store lease. The term is confirmed as of when the
+ * request was sent, since the lease may have been renewed any time after that.
  */
 static void on_lease_renewed(const struct kv_result *r, void *arg)
 {
@@ -319,10 +339,10 @@
 	if (r->status == KV_OK)
 		c->term_confirmed_at = MAX(c->term_confirmed_at, r->sent);
 	else if (r->status == KV_NOT_FOUND)
-		coord_lose_term(c, "lease expired");
+		coord_lose_term(c, "the store lease has expired");
 }
 
-/* Renews the lease on the coordinator's key. */
+/* Renews the store lease of the coordinator's key. */
 static void renew_lease(void *arg)
 {
 	struct wl_coord *c = arg;
@@ -334,13 +354,13 @@
 	kv_lease_keepalive(c->p->kv, c->store_lease, on_lease_renewed, c);
 }
 
-/* Disconnects silent agents, and removes the records of gone nodes and expired jobs. */
+/* Disconnects silent agents, and removes the records of expired nodes and expired jobs. */
 static void on_sweep_timer(void *arg)
 {
 	struct wl_coord *c = arg;
 	int64_t now = loop_now(c->p->loop);
 	g_autoptr(GPtrArray) expired_nodes = NULL;
-	g_autoptr(GPtrArray) expired = NULL;
+	g_autoptr(GPtrArray) expired_jobs = NULL;
 
 	for (guint i = 0; i < c->agents->len; i++) {
 		struct agent_conn *agent = c->agents->pdata[i];
@@ -357,9 +377,9 @@
 		record_writer_set_node(c->records, expired_nodes->pdata[i], false);
 		coord_request_pass(c);
 	}
-	expired = wl_jobs_expired(c->scheduler, clock_wall(loop_clock(c->p->loop)));
-	for (guint i = 0; i < expired->len; i++)
-		record_writer_remove_job(c->records, expired->pdata[i]);
+	expired_jobs = wl_jobs_expired(c->scheduler, clock_wall(loop_clock(c->p->loop)));
+	for (guint i = 0; i < expired_jobs->len; i++)
+		record_writer_remove_job(c->records, expired_jobs->pdata[i]);
 }
 
 void coord_apply_pending_reports(struct wl_coord *c)
@@ -396,19 +416,21 @@
 	coord_request_pass(c);
 }
 
-/* Starts coordinating under a term that was acquired with this lease. */
+/* Starts coordinating under a term that has been written to the store. */
 struct wl_coord *wl_coord_new(struct wl_process *p, uint64_t term, int64_t term_revision,
 	int64_t store_lease, const struct wl_coord_events *ev)
 {
 	const struct pf_settings *s = &p->settings;
 	struct wl_coord *c = xcalloc(1, sizeof(*c));
+	/* Durations are in nanoseconds. */
 	const struct wl_limits limits = {.stop_max = s->stop_max,
 		.gang_wait = s->gang_wait,
-		.remote_penalty = s->remote_penalty,
-		.restore = s->restore,
-		.reclaim_max = s->reclaim_max,
-		.silence_max =
-			AUTHORITY_MAX + s->lease_max + s->lease_max / 50 + RUN_LEASE_MARGIN,
+		.remote_penalty = s->remote_penalty, /* factor outside of the rack */
+		.restore = s->restore,		     /* time to resume from a checkpoint */
+		.reclaim_max = s->reclaim_max, /* until a job within its guarantee starts */
+		/* After this time no run survives on an unreachable worker. */
+		.silence_max = AUTHORITY_MAX + s->lease_max +
+			       s->lease_max / SLOW_CLOCK_DIVISOR + RUN_LEASE_MARGIN,
 		.retention = s->ended_retention + RETENTION_MARGIN};
 	const struct wl_callbacks out = {.start = order_start,
 		.stop = order_stop,
@@ -421,6 +443,7 @@
 	c->term = term;
 	c->term_revision = term_revision;
 	c->store_lease = store_lease;
+	/* The time of the reply to the write of the term, so later than that was sent. */
 	c->term_confirmed_at = loop_now(p->loop);
 	c->agents = g_ptr_array_new();
 	c->stored_progress =
@@ -446,8 +469,8 @@
 }
 
 /*
- * Stops giving orders, tells the agents, and revokes the lease so that another process can take
- * over at once.
+ * Stops giving orders, tells the agents, and revokes the store lease so that another process
+ * can take over at once.
  */
 void wl_coord_stop(struct wl_coord *c)
 {
@@ -455,7 +478,7 @@
 		return;
 	c->stopping = true;
 	for (guint i = 0; i < c->agents->len; i++)
-		send_beat(c, c->agents->pdata[i], 0);
+		send_coordinator_heartbeat(c, c->agents->pdata[i], 0);
 	event_log(EV_TERM_LOST, "term=%" PRIu64 " why=\"process is stopping\"", c->term);
 	c->calls_in_flight++;
 	kv_lease_revoke(c->p->kv, c->store_lease, on_lease_revoked, c);
@@ -466,7 +489,7 @@
 	return c->stopping && record_writer_idle(c->records);
 }
 
-/* Frees the remaining state once no store call is in flight. */
+/* Frees what the callbacks of store calls use, once none is in flight. */
 static void coord_free_if_idle(struct wl_coord *c)
 {
 	if (c->calls_in_flight > 0)
@@ -485,7 +508,7 @@
 	free(c);
 }
 
-/* Frees a coordinator; the last part waits for the store calls in flight. */
+/* Frees a coordinator. What callbacks of store calls use is freed after the last of them. */
 void wl_coord_free(struct wl_coord *c)
 {
 	if (c == NULL || c->freed)
