--- a/packages/daemon/wl-detour.c
+++ b/packages/daemon/wl-detour.c
@@ -5,19 +5,24 @@
 #include <string.h>
 
 /*
- * Detour: relays an entry's store calls through the coordinator's process when the store does
- * not serve the entry's VM. The coordinator must be able to reach the store to keep its term.
- * Its address is read from the store periodically, and a connection to it is kept open, because
- * a call that the store has just refused has no time left to wait for one.
+ * Detour: relays an entry's store calls through the coordinator's process when the store has
+ * just refused this VM's calls, or not answered them, or has been silent for some time
+ * (pf-store.c). The coordinator is likely to reach the store, as it would lose its term
+ * otherwise. Its address is read from the store periodically, and a connection to it is kept
+ * open, because a call that the store has just refused has no time left to wait for one.
  */
 
 COUNTER(detour_links_total, "damaskpath_detour_links_total",
 	"Connections opened for a detour.");
 
-/* How often the address is read; while the store is unreachable this also probes it. */
+/*
+ * Period of reading the address. These reads are KV_READ_STALE and so never take the detour:
+ * while it is in use, they also show whether the store serves this VM again.
+ */
 #define ADDR_READ_PERIOD NSEC_PER_SEC
-#define CONNECT_TIMEOUT	 (500 * NSEC_PER_MSEC)
-#define TICK_PERIOD	 (100 * NSEC_PER_MSEC)
+/* Also the least time between two attempts to connect. */
+#define CONNECT_TIMEOUT (500 * NSEC_PER_MSEC)
+#define TICK_PERIOD	(100 * NSEC_PER_MSEC)
 
 /* A call that was sent to the coordinator's process and has no reply yet. */
 struct detour_call {
@@ -38,7 +43,7 @@
 	int64_t addr_read_sent_at;
 	bool addr_read_in_flight;
 	uint64_t last_call_number;
-	GArray *calls;
+	GArray *calls; /* detour_calls in progress */
 };
 
 /* Fails the calls whose deadline is at or before now; returns how many there were. */
@@ -113,6 +118,7 @@
 	}
 }
 
+/* Whether the connection to the coordinator's process is open. */
 static bool detour_is_open(void *arg)
 {
 	return ((struct wl_detour *)arg)->connected;
