--- a/packages/daemon/wl-entry.c
+++ b/packages/daemon/wl-entry.c
@@ -19,7 +19,7 @@
 /* New calls may arrive this long after the signal to stop, until the balancer notices. */
 #define STOP_DELAY (2500 * NSEC_PER_MSEC)
 
-#define BODY_MAX	(512 * 1024)
+#define BODY_MAX	(512 * 1024) /* bytes */
 #define CONNECTIONS_MAX 3500
 #define IDLE_TIMEOUT_S	60
 
@@ -65,7 +65,10 @@
 		http_reply(r, ready ? 200 : 503, NULL, "", 0);
 }
 
-/* Updates whether new callers are accepted. */
+/*
+ * Updates what the health check answers, by which the load balancer sends callers here or not.
+ * Calls that arrive are served in any case.
+ */
 static void update_ready(void *arg)
 {
 	struct wl_entry *e = arg;
@@ -91,14 +94,16 @@
 		.connections_max = CONNECTIONS_MAX,
 		.idle_timeout_s = IDLE_TIMEOUT_S,
 		.threads = 1};
-	const struct http_limits ready_limits = {.body_max = 4096,
+	const struct http_limits ready_limits = {.body_max = 4096, /* bytes */
 		.connections_max = 64,
 		.idle_timeout_s = IDLE_TIMEOUT_S,
 		.threads = 1};
 	struct wl_entry *e;
 
 	if (p->settings.client_addr == NULL || p->settings.readiness_addr == NULL) {
-		error_set(err, ERR_INVALID, "the settings file names no address for callers");
+		error_set(err, ERR_INVALID,
+			"the settings file lacks the address for callers or for the health "
+			"check");
 		return NULL;
 	}
 	e = xcalloc(1, sizeof(*e));
@@ -128,7 +133,10 @@
 	update_ready(e);
 }
 
-/* Whether all calls are answered and no more are expected. */
+/*
+ * Whether all calls are answered and no more are expected. http_server_open is the number of
+ * requests that are being read or answered.
+ */
 bool wl_entry_idle(const struct wl_entry *e)
 {
 	return e->stopping && loop_now(e->p->loop) >= e->stop_at && e->open == 0 &&
