--- a/packages/daemon/wl-entry-job.c
+++ b/packages/daemon/wl-entry-job.c
@@ -13,11 +13,14 @@
 
 /* A configuration verified this long before a call's arrival still counts as current. */
 #define CONFIG_VERIFY_SLACK (300 * NSEC_PER_MSEC)
-/* How often a call is tried while the store doesn't answer. */
+/*
+ * Most tries of a call. Each store call without success counts, and so does a routing by a new
+ * configuration. A submission is given up earlier, after the second write without an answer.
+ */
 #define STORE_TRIES_MAX 6
 /*
  * Timeouts of the first write of a submission and of its retries: the short first one detects a
- * lost answer early, the longer one leaves a slow store enough time at its slowest.
+ * lost answer early, the longer one covers the slowest answers of a slow store.
  */
 #define FIRST_SUBMIT_TIMEOUT (350 * NSEC_PER_MSEC)
 #define SUBMIT_RETRY_TIMEOUT (600 * NSEC_PER_MSEC)
@@ -94,7 +97,7 @@
 	return c->tries >= STORE_TRIES_MAX || loop_now(c->entry->p->loop) >= c->deadline;
 }
 
-/* Routes the call again by the newest configuration, after its own was replaced. */
+/* Routes the call again, after the configuration by which it was routed was replaced. */
 static void reroute(struct entry_call *c)
 {
 	free((char *)c->queue);
@@ -168,7 +171,7 @@
 		.state = WL_QUEUED, .queue = (char *)c->queue, .org = c->org};
 	const struct wl_config *config = config_feed_get(c->entry->feed);
 	struct bytes spec = fields_encode(&wl_spec_fields, &c->spec);
-	struct bytes state = fields_encode(&wl_progress_fields, &progress);
+	struct bytes progress_record = fields_encode(&wl_progress_fields, &progress);
 	AUTOFREE char *job_key = NULL;
 	AUTOFREE char *progress_key = NULL;
 	struct kv_txn t = {.expect_len = 2, .write_len = 2};
@@ -178,14 +181,18 @@
 	t.expect[0] = (struct kv_condition){PF_CONFIG_KEY, config->revision};
 	t.expect[1] = (struct kv_condition){job_key, 0};
 	t.write[0] = (struct kv_write){job_key, spec.data, spec.len, 0};
-	t.write[1] = (struct kv_write){progress_key, state.data, state.len, 0};
+	t.write[1] =
+		(struct kv_write){progress_key, progress_record.data, progress_record.len, 0};
 	t.timeout = c->outcome_unknown ? SUBMIT_RETRY_TIMEOUT : FIRST_SUBMIT_TIMEOUT;
 	kv_commit(c->entry->p->kv, &t, on_submit_stored, c);
 	bytes_clear(&spec);
-	bytes_clear(&state);
+	bytes_clear(&progress_record);
 }
 
-/* Begins a submission; its queue and organisation are set. */
+/*
+ * Begins a submission by a call whose queue and organisation are set. Parses the job at the
+ * first routing; sets its queue, service and organisation at each.
+ */
 static void begin_submit(struct entry_call *c, const struct wl_queue *q)
 {
 	g_autoptr(GError) err = NULL;
@@ -474,8 +481,9 @@
 }
 
 /*
- * Routes a call. A submission is conditional on the configuration in its own transaction; other
- * calls need a configuration that was verified recently.
+ * Routes a call. A POST with a known queue and API key is dispatched at once: the transaction
+ * that stores it verifies the configuration. All other calls wait until the configuration was
+ * verified recently.
  */
 void entry_call_route(struct entry_call *c)
 {
