--- a/packages/daemon/wl-process.c
+++ b/packages/daemon/wl-process.c
@@ -17,6 +17,7 @@
 /* A store call that takes longer counts as unanswered. */
 #define STORE_CALL_TIMEOUT (1200 * NSEC_PER_MSEC)
 
+/* The running process: its role, its signals and its stop. */
 struct wl_daemon {
 	struct wl_process process;
 	struct wl_entry *entry;
@@ -54,6 +55,7 @@
 
 	if (!idle && loop_now(p->process.loop) < p->stop_deadline)
 		return;
+	/* limit: the deadline of the stop has passed */
 	event_log(EV_STOP, "why=%s", idle ? "idle" : "limit");
 	loop_stop(p->process.loop);
 }
@@ -68,6 +70,7 @@
 		event_log(EV_RELOAD, "ok=0 error=\"%s\"", err->message);
 		return;
 	}
+	/* ok=1: the settings are valid; nothing was reloaded */
 	event_log(EV_RELOAD, "ok=1 store_changed=%d",
 		g_strcmp0(s.store_addr, p->process.settings.store_addr) != 0);
 	pf_settings_clear(&s);
