--- a/packages/daemon/wl-worker-order.c
+++ b/packages/daemon/wl-worker-order.c
@@ -15,7 +15,10 @@
 COUNTER(stops_total, "damaskpath_stops_total", "Stops sent to the worker.");
 HISTOGRAM(start_seconds, "damaskpath_start_seconds", "Time until the worker answers a start.");
 
-/* Number of times that an order without an answer is sent in all; orders are idempotent. */
+/*
+ * How many times a start, or a stop of a run, is sent in all while it has no answer; both are
+ * idempotent. A stop that voids a start has no such limit.
+ */
 #define ORDER_SENDS_MAX 3
 /*
  * A start without an answer may still show up in the worker's lists; one that has not this
