--- a/packages/daemon/wl-entry.c
+++ b/packages/daemon/wl-entry.c
@@ -102,8 +102,7 @@
 
 	if (p->settings.client_addr == NULL || p->settings.readiness_addr == NULL) {
 		error_set(err, ERR_INVALID,
-			"the settings file lacks the address for callers or for the health "
-			"check");
+			"the settings file lacks the client or the readiness address");
 		return NULL;
 	}
 	e = xcalloc(1, sizeof(*e));
