--- a/packages/daemon/wl-coord.c
+++ b/packages/daemon/wl-coord.c
@@ -6,8 +6,8 @@
 
 /*
  * The coordinator: reads the accepted jobs from the store, watches the keys that entries write,
- * and schedules tasks on the agents connected to it. Each renewal of the store lease of
- * its key confirms its term: no other process can take the key before that lease expires.
+ * and schedules tasks on the agents connected to it. Each renewal of the store lease
+ * of its key confirms its term: no other process can take the key before that lease expires.
  */
 
 COUNTER(passes_total, "damaskpath_passes_total", "Passes of the scheduler.");
