--- a/packages/daemon/wl-worker-private.h
+++ b/packages/daemon/wl-worker-private.h
@@ -30,7 +30,8 @@
 	/*
 	 * A start is void once the worker can't carry it out any more; it may have done so
 	 * before, which its lists show. The start becomes void when the worker confirms a stop
-	 * of this attempt, or answers a repeated start with PF_REPLY_STALE_ATTEMPT. 0 before.
+	 * of this attempt, or answers a repeated start with PF_REPLY_STALE_ATTEMPT. This is
+	 * the loop time of that answer; 0 before.
 	 */
 	int64_t voided_at;
 	bool dropped;
