--- a/packages/daemon/wl-agent.c
+++ b/packages/daemon/wl-agent.c
@@ -15,7 +15,7 @@
 	"Coordinators that went out of reach.");
 
 #define TICK_PERIOD (100 * NSEC_PER_MSEC)
-/* A coordinator that has not answered a report for this long is looked up again. */
+/* The link is dropped if no heartbeat of the coordinator has arrived for this long. */
 #define LINK_TIMEOUT (2500 * NSEC_PER_MSEC)
 /* A coordinator whose term the store last confirmed longer ago may have been replaced. */
 #define TERM_AGE_MAX  (2000 * NSEC_PER_MSEC)
@@ -25,7 +25,7 @@
 #define DIAL_TIMEOUT (1000 * NSEC_PER_MSEC)
 /* A random delay up to this keeps agents from campaigning all at once. */
 #define CAMPAIGN_DELAY_MAX (150 * NSEC_PER_MSEC)
-/* TTL of the coordinator's key: how long a failed coordinator delays a takeover. */
+/* TTL of the store lease: how long a failed coordinator delays a takeover. */
 #define LEASE_TTL_MS 2500
 
 enum link_state {
@@ -46,18 +46,27 @@
 	enum link_state state;
 	peer_id peer;
 	char *coordinator_addr;
-	uint64_t term;
+	uint64_t term; /* of the last heartbeat; 0 before the first */
 	int64_t dialled_at;
-	int64_t heard_at;
+	int64_t heard_at; /* of the last heartbeat, or of the link's opening */
 	int64_t sent_at;  /* of the last report or ping */
-	int64_t term_age; /* since the store confirmed the term, as of heard_at */
+	/*
+	 * Time since the store confirmed the term, as of heard_at. 0 on a new link until the
+	 * first heartbeat, as it is not known yet.
+	 */
+	int64_t term_age;
 	/* Calls to the store. */
 	bool store_call_pending;
+	/*
+	 * When the last call was sent. 0 after the link was lost, so that the coordinator is
+	 * looked up without waiting for LOOKUP_PERIOD.
+	 */
 	int64_t store_call_at;
 	int64_t campaign_at; /* 0 for no campaign */
+	/* The term as last read from the store, or as written by this agent. */
 	int64_t stored_term_revision;
 	uint64_t stored_term;
-	int64_t lease; /* for the coordinator's key; 0 for none */
+	int64_t store_lease; /* id of the store lease for the coordinator's key; 0 for none */
 };
 
 static int64_t agent_now(const struct wl_agent *a)
@@ -113,7 +122,7 @@
 {
 	struct wl_agent *a = arg;
 
-	link_drop(a, "the worker has seen a higher term");
+	link_drop(a, "the worker has seen a higher fencing token");
 	wl_worker_set_term(a->worker, 0);
 }
 
@@ -143,12 +152,12 @@
 		return;
 	wl_coord_free(a->coord);
 	a->coord = NULL;
-	a->lease = 0;
+	a->store_lease = 0;
 	if (a->coordinator_addr != NULL && strcmp(a->coordinator_addr, a->own_addr) == 0)
-		link_drop(a, "its term has ended");
+		link_drop(a, "the coordinator's term has ended");
 }
 
-static void on_coord_lost(void *arg)
+static void on_coord_term_lost(void *arg)
 {
 	struct wl_agent *a = arg;
 
@@ -157,12 +166,12 @@
 
 static void become_coordinator(struct wl_agent *a, uint64_t term, int64_t revision)
 {
-	const struct wl_coord_events ev = {.lost = on_coord_lost, .arg = a};
+	const struct wl_coord_events ev = {.term_lost = on_coord_term_lost, .arg = a};
 
 	counter_add(&takeovers_total, 1);
 	a->stored_term_revision = revision;
 	a->stored_term = term;
-	a->coord = wl_coord_new(a->p, term, revision, a->lease, &ev);
+	a->coord = wl_coord_new(a->p, term, revision, a->store_lease, &ev);
 	dial(a, a->own_addr);
 }
 
@@ -196,9 +205,12 @@
 			return;
 		}
 	}
-	/* Without an answer the key may have been written: its lease must not be reused. */
+	/*
+	 * Without an answer the key may have been written, so its store lease must not be
+	 * reused. KV_NOT_FOUND means that the store lease no longer exists.
+	 */
 	if (r->status == KV_OUTCOME_UNKNOWN || r->status == KV_NOT_FOUND)
-		a->lease = 0;
+		a->store_lease = 0;
 	else if (r->status == KV_CONFLICT && !a->stopping)
 		campaign(a);
 }
@@ -213,7 +225,7 @@
 	t.expect[1] = (struct kv_condition){KEY_TERM, a->stored_term_revision};
 	t.write[0] = (struct kv_write){KEY_TERM, term, strlen(term), 0};
 	t.write[1] = (struct kv_write){
-		KEY_COORDINATOR_ADDR, a->own_addr, strlen(a->own_addr), a->lease};
+		KEY_COORDINATOR_ADDR, a->own_addr, strlen(a->own_addr), a->store_lease};
 	a->store_call_pending = true;
 	a->store_call_at = agent_now(a);
 	kv_commit(a->p->kv, &t, on_term_written, a);
@@ -226,16 +238,16 @@
 	a->store_call_pending = false;
 	if (r->status != KV_OK || a->stopping || a->coord != NULL)
 		return;
-	a->lease = r->lease;
+	a->store_lease = r->lease;
 	write_term(a);
 }
 
-/* Tries to become the coordinator, with a lease that is requested first if needed. */
+/* Tries to become the coordinator, with a store lease that is requested first if needed. */
 static void campaign(struct wl_agent *a)
 {
 	if (a->store_call_pending || a->coord != NULL || a->stopping)
 		return;
-	if (a->lease != 0) {
+	if (a->store_lease != 0) {
 		write_term(a);
 		return;
 	}
@@ -283,7 +295,7 @@
 			g_strndup(r->items[0].value.data, r->items[0].value.len);
 
 		a->campaign_at = 0;
-		a->lease = 0;
+		a->store_lease = 0;
 		if (strcmp(addr, a->own_addr) == 0 && a->coord == NULL) {
 			remove_own_key(a, r->items[0].revision);
 			return;
@@ -309,7 +321,10 @@
 	kv_get(a->p->kv, KEY_COORDINATOR_ADDR, KV_READ_EXACT, on_coordinator_read, a);
 }
 
-/* Whether there is no coordinator, or only one whose term confirmation is too old. */
+/*
+ * Whether there is no link to a coordinator and none is being opened, or only one to a
+ * coordinator in another process whose term the store confirmed too long ago.
+ */
 static bool needs_coordinator(const struct wl_agent *a)
 {
 	return a->state == LINK_NONE ||
@@ -360,11 +375,14 @@
 	send_to_coordinator(a, &m);
 }
 
-/* Adopts the coordinator's term, and extends the authority to renew leases. */
-static void handle_coordinator_beat(struct wl_agent *a, const struct wl_lead_beat *b)
+/*
+ * Handles the coordinator's heartbeat: adopts its term, and extends the authority to renew the
+ * leases of runs.
+ */
+static void handle_coordinator_heartbeat(struct wl_agent *a, const struct wl_lead_beat *b)
 {
 	if (b->term < a->term) {
-		link_drop(a, "its term is older than the last one seen");
+		link_drop(a, "the coordinator's term is older than the last one seen");
 		return;
 	}
 	if (b->term != a->term)
@@ -374,7 +392,7 @@
 	a->heard_at = agent_now(a);
 	a->term_age = (int64_t)b->age_ms * NSEC_PER_MSEC;
 	wl_worker_set_term(a->worker, b->term);
-	wl_worker_set_start_ordinal(a->worker, b->ordinal);
+	wl_worker_note_start_ordinal(a->worker, b->ordinal);
 	if (b->echo_ns != 0)
 		wl_worker_set_authority(
 			a->worker, (int64_t)b->echo_ns - a->term_age + AUTHORITY_MAX);
@@ -384,23 +402,23 @@
 	}
 }
 
-/* Handles a message from the coordinator. */
-static void handle_order(struct wl_agent *a, struct wl_msg *m)
+/* Handles a message from the coordinator: its heartbeat, or an order or note for the worker. */
+static void handle_coordinator_message(struct wl_agent *a, struct wl_msg *m)
 {
 	switch (m->kind) {
 	case WL_MSG_LEAD_BEAT:
-		handle_coordinator_beat(a, &m->lead_beat);
+		handle_coordinator_heartbeat(a, &m->lead_beat);
 		break;
 	case WL_MSG_START:
-		wl_worker_start(a->worker, &m->start);
+		wl_worker_start_tasks(a->worker, &m->start);
 		break;
 	case WL_MSG_STOP:
-		wl_worker_stop(a->worker, &m->stop);
+		wl_worker_stop_run(a->worker, &m->stop);
 		break;
 	case WL_MSG_PACE:
-		wl_worker_pace(a->worker, &m->pace);
+		wl_worker_pace_run(a->worker, &m->pace);
 		break;
-	case WL_MSG_STORED:
+	case WL_MSG_STORED: /* tells which ended runs are stored */
 		wl_worker_ack_ends(a->worker, &m->stored);
 		break;
 	case WL_MSG_HELLO:
@@ -467,9 +485,9 @@
 	if (m.kind == WL_MSG_STORE_CALL)
 		relay_store_call(a, peer, &m.store_call);
 	else if (peer == a->peer && !is_for_coordinator(m.kind))
-		handle_order(a, &m);
+		handle_coordinator_message(a, &m);
 	else if (a->coord != NULL)
-		wl_coord_message(a->coord, a->net, peer, &m);
+		wl_coord_handle_message(a->coord, a->net, peer, &m);
 	else
 		peer_close(a->net, peer);
 	wl_msg_clear(&m);
@@ -480,7 +498,7 @@
 	struct wl_agent *a = arg;
 
 	if (a->coord != NULL)
-		wl_coord_peer_closed(a->coord, peer);
+		wl_coord_handle_peer_closed(a->coord, peer);
 	if (peer == a->peer && peer != PEER_NONE) {
 		link_drop(a, why != NULL ? why->message : "closed");
 		a->store_call_at = 0;
@@ -522,7 +540,11 @@
 		wl_coord_stop(a->coord);
 }
 
-/* Whether the agent can exit: all orders are answered and the term is handed over. */
+/*
+ * Whether the agent can exit: no call that carries an order to the worker is under way, and a
+ * coordinator in this process writes no records. Doesn't wait for the store to revoke the lease
+ * of the coordinator's key, nor for starts that await the worker's lists.
+ */
 bool wl_agent_idle(const struct wl_agent *a)
 {
 	return a->stopping && wl_worker_idle(a->worker) &&
--- a/packages/daemon/wl-detour.c
+++ b/packages/daemon/wl-detour.c
@@ -5,19 +5,24 @@
 #include <string.h>
 
 /*
- * Detour: relays an entry's store calls through the coordinator's process when the store does
- * not serve the entry's VM. The coordinator must be able to reach the store to keep its term.
- * Its address is read from the store periodically, and a connection to it is kept open, because
- * a call that the store has just refused has no time left to wait for one.
+ * Detour: relays an entry's store calls through the coordinator's process when the store has
+ * just refused this VM's calls, or not answered them, or has been silent for some time
+ * (pf-store.c). The coordinator is likely to reach the store, as it would lose its term
+ * otherwise. Its address is read from the store periodically, and a connection to it is kept
+ * open, because a call that the store has just refused has no time left to wait for one.
  */
 
 COUNTER(detour_links_total, "damaskpath_detour_links_total",
 	"Connections opened for a detour.");
 
-/* How often the address is read; while the store is unreachable this also probes it. */
+/*
+ * Period of reading the address. These reads are KV_READ_STALE and so never take the detour:
+ * while it is in use, they also show whether the store serves this VM again.
+ */
 #define ADDR_READ_PERIOD NSEC_PER_SEC
-#define CONNECT_TIMEOUT	 (500 * NSEC_PER_MSEC)
-#define TICK_PERIOD	 (100 * NSEC_PER_MSEC)
+/* Also the least time between two attempts to connect. */
+#define CONNECT_TIMEOUT (500 * NSEC_PER_MSEC)
+#define TICK_PERIOD	(100 * NSEC_PER_MSEC)
 
 /* A call that was sent to the coordinator's process and has no reply yet. */
 struct detour_call {
@@ -37,8 +42,8 @@
 	int64_t connect_started_at;
 	int64_t addr_read_sent_at;
 	bool addr_read_in_flight;
-	uint64_t number;
-	GArray *calls;
+	uint64_t last_call_number;
+	GArray *calls; /* detour_calls in progress */
 };
 
 /* Fails the calls whose deadline is at or before now; returns how many there were. */
@@ -113,7 +118,8 @@
 	}
 }
 
-static bool detour_open(void *arg)
+/* Whether the connection to the coordinator's process is open. */
+static bool detour_is_open(void *arg)
 {
 	return ((struct wl_detour *)arg)->connected;
 }
@@ -124,8 +130,10 @@
 {
 	struct wl_detour *d = arg;
 	int64_t now = loop_now(d->p->loop);
-	struct detour_call c = {
-		.number = ++d->number, .deadline = now + timeout, .fn = fn, .arg = fn_arg};
+	struct detour_call c = {.number = ++d->last_call_number,
+		.deadline = now + timeout,
+		.fn = fn,
+		.arg = fn_arg};
 	const struct wl_msg m = {.kind = WL_MSG_STORE_CALL,
 		.store_call = {.number = c.number,
 			.method = (char *)method,
@@ -190,7 +198,7 @@
 	struct wl_detour *d = xcalloc(1, sizeof(*d));
 	const struct peer_events events = {
 		.opened = on_opened, .message = on_message, .closed = on_closed, .arg = d};
-	const struct pf_detour detour = {.open = detour_open, .send = detour_send, .arg = d};
+	const struct pf_detour detour = {.open = detour_is_open, .send = detour_send, .arg = d};
 
 	d->p = p;
 	d->net = peer_net_new(p->loop, p->keys, &events);
--- a/packages/daemon/wl-process.c
+++ b/packages/daemon/wl-process.c
@@ -17,7 +17,8 @@
 /* A store call that takes longer counts as unanswered. */
 #define STORE_CALL_TIMEOUT (1200 * NSEC_PER_MSEC)
 
-struct wl_program {
+/* The running process: its role, its signals and its stop. */
+struct wl_daemon {
 	struct wl_process process;
 	struct wl_entry *entry;
 	struct wl_agent *agent;
@@ -48,18 +49,19 @@
 /* While stopping: exits once nothing is in flight, or at the deadline. */
 static void exit_if_idle(void *arg)
 {
-	struct wl_program *p = arg;
+	struct wl_daemon *p = arg;
 	bool idle = (p->entry == NULL || wl_entry_idle(p->entry)) &&
 		    (p->agent == NULL || wl_agent_idle(p->agent));
 
 	if (!idle && loop_now(p->process.loop) < p->stop_deadline)
 		return;
+	/* limit: the deadline of the stop has passed */
 	event_log(EV_STOP, "why=%s", idle ? "idle" : "limit");
 	loop_stop(p->process.loop);
 }
 
 /* Reads the settings again and logs the result; they take effect at the next restart. */
-static void check_settings(struct wl_program *p)
+static void check_settings(struct wl_daemon *p)
 {
 	struct pf_settings s;
 	g_autoptr(GError) err = NULL;
@@ -68,6 +70,7 @@
 		event_log(EV_RELOAD, "ok=0 error=\"%s\"", err->message);
 		return;
 	}
+	/* ok=1: the settings are valid; nothing was reloaded */
 	event_log(EV_RELOAD, "ok=1 store_changed=%d",
 		g_strcmp0(s.store_addr, p->process.settings.store_addr) != 0);
 	pf_settings_clear(&s);
@@ -75,7 +78,7 @@
 
 static void on_signal(uint32_t events, void *arg)
 {
-	struct wl_program *p = arg;
+	struct wl_daemon *p = arg;
 	struct signalfd_siginfo info;
 
 	(void)events;
@@ -99,7 +102,7 @@
 }
 
 /* Serves metrics unless port is 0. */
-static bool start_metrics_server(struct wl_program *p, int64_t port, GError **err)
+static bool start_metrics_server(struct wl_daemon *p, int64_t port, GError **err)
 {
 	const struct http_limits limits = {
 		.body_max = 1024, .connections_max = 16, .idle_timeout_s = 30, .threads = 1};
@@ -113,7 +116,7 @@
 }
 
 /* Sets up what both roles need. */
-static bool init_process(struct wl_program *p, const struct options *o, GError **err)
+static bool init_process(struct wl_daemon *p, const struct options *o, GError **err)
 {
 	struct wl_process *w = &p->process;
 
@@ -133,7 +136,7 @@
 /* Runs a role until the process is stopped; returns the exit status. */
 int wl_process_run(enum wl_role role, const struct options *o)
 {
-	struct wl_program p = {.signal_fd = process_open_signalfd(true)};
+	struct wl_daemon p = {.signal_fd = process_open_signalfd(true)};
 	g_autoptr(GError) err = NULL;
 	bool ok = init_process(&p, o, &err);
 
