--- a/packages/bench/bench-policy.c
+++ b/packages/bench/bench-policy.c
@@ -539,7 +539,7 @@
 		end_all_members(b, a, attempt, MEMBER_END_STOPPED);
 		return;
 	}
-	sched_reserve_failed(b->sched, b->now, a->ref, attempt);
+	sched_attempt_withdrawn(b->sched, b->now, a->ref, attempt);
 	request_pass(b);
 }
 
@@ -872,7 +872,7 @@
 	b.heap = g_array_new(FALSE, TRUE, sizeof(struct event));
 	b.jobs = draw_arrivals(d, load, seed, &b.jobs_len);
 	b.unfinished = b.jobs_len;
-	sched_set_doc(b.sched, 0, b.doc, d->cell);
+	sched_set_config(b.sched, 0, b.doc, d->cell);
 	set_workers_up(&b, ALL_RACKS, true);
 	for (size_t i = 0; i < b.jobs_len; i++)
 		event_push(&b, b.jobs[i].at, EVENT_ARRIVE, &b.jobs[i], 0);
--- a/packages/bench/bench-scale.c
+++ b/packages/bench/bench-scale.c
@@ -289,7 +289,7 @@
 }
 
 /* Returns a loopback address with a free port. */
-static char *free_addr(void)
+static char *unused_addr(void)
 {
 	char *addr = NULL;
 
@@ -304,10 +304,10 @@
 	struct bench b = {.loop = loop_new(&clock_system)};
 	struct keyring *keys = keyring_parse("damaskpath-development", NULL);
 	struct peer_events events = {on_opened, on_message, on_closed, &b};
-	g_autofree char *store = free_addr();
-	g_autofree char *peer = free_addr();
-	g_autofree char *http = free_addr();
-	g_autofree char *entry = free_addr();
+	g_autofree char *store = unused_addr();
+	g_autofree char *peer = unused_addr();
+	g_autofree char *http = unused_addr();
+	g_autofree char *entry = unused_addr();
 	char args[8][ARG_LEN_MAX];
 	char metrics[ARG_LEN_MAX];
 	char entry_metrics[ARG_LEN_MAX];
--- a/packages/coordination/coord-job.c
+++ b/packages/coordination/coord-job.c
@@ -165,7 +165,7 @@
  * have never been sent to an agent to the entries that wait for them. Returns the number of
  * answers sent.
  */
-size_t coord_return_queued(struct coord *c)
+size_t coord_hand_over_queued(struct coord *c)
 {
 	GHashTableIter it;
 	gpointer value;
--- a/packages/coordination/coord-query.c
+++ b/packages/coordination/coord-query.c
@@ -139,7 +139,7 @@
 }
 
 /*
- * Return the state of the cell. placed is sched_running_count, which includes jobs that are
+ * Return the state of the cell. placed is sched_active_count, which includes jobs that are
  * still placing and jobs that are stopping.
  */
 static json_t *cell_json(struct coord *c, int64_t now)
@@ -154,7 +154,7 @@
 		"accelerators", (int)v.accelerators, "free", (int)v.free, "largest_in_worker",
 		(int)v.largest_worker, "largest_in_rack", (int)v.largest_rack, "queued",
 		(json_int_t)sched_queued_count(c->sched), "placed",
-		(json_int_t)sched_running_count(c->sched), "fragmentation", v.fragmentation,
+		(json_int_t)sched_active_count(c->sched), "fragmentation", v.fragmentation,
 		"claims", (json_int_t)n->claims, "preempted", (json_int_t)n->preempted,
 		"oldest_ms", (json_int_t)(v.oldest / NSEC_PER_MSEC));
 }
--- a/packages/coordination/coord-run.c
+++ b/packages/coordination/coord-run.c
@@ -69,7 +69,7 @@
 	j->dispatched = false;
 	j->write_before_start = false;
 	j->size = 0;
-	sched_reserve_failed(c->sched, now, j->ref, j->attempt);
+	sched_attempt_withdrawn(c->sched, now, j->ref, j->attempt);
 }
 
 /* Send the reservations of an attempt; if one cannot be sent, the attempt is aborted. */
@@ -145,7 +145,7 @@
 		coord_audit(c, now, "job.preempt", j->spec.org, j->spec.id,
 			"its accelerators were claimed by their owner");
 	if (j->attempt != a->attempt) {
-		sched_reserve_failed(c->sched, now, j->ref, a->attempt);
+		sched_attempt_withdrawn(c->sched, now, j->ref, a->attempt);
 		return;
 	}
 	if (!j->dispatched && !j->started) {
--- a/packages/coordination/coord.c
+++ b/packages/coordination/coord.c
@@ -160,7 +160,7 @@
 	parse_roster(c->previous_roster, c, roster);
 	sched_set_settling(c->sched, true);
 	if (config != NULL)
-		coord_set_doc(c, now, config);
+		coord_set_config(c, now, config);
 	settle_load_records(c, now, records);
 	log_info("coord",
 		"Started coordinating; waiting for the inventories of %u agents. cell=%s "
@@ -212,7 +212,7 @@
 }
 
 /* Count the dispatched jobs that have not ended, and the jobs with unsent acknowledgements. */
-size_t coord_open_jobs(const struct coord *c)
+size_t coord_unfinished_jobs(const struct coord *c)
 {
 	GHashTableIter it;
 	gpointer value;
@@ -259,13 +259,13 @@
 }
 
 /* Adopt a configuration; one older than the current is ignored. */
-void coord_set_doc(struct coord *c, int64_t now, const struct doc *config)
+void coord_set_config(struct coord *c, int64_t now, const struct doc *config)
 {
 	if (config->number < c->config_number)
 		return;
 	c->config_number = config->number;
 	c->grace = config->grace;
-	sched_set_doc(c->sched, now, config, c->cell);
+	sched_set_config(c->sched, now, config, c->cell);
 	if (c->settled)
 		coord_schedule(c, now);
 }
@@ -344,7 +344,7 @@
 		.largest_worker = v.largest_worker,
 		.largest_rack = v.largest_rack,
 		.queued = (uint32_t)sched_queued_count(c->sched),
-		.running = (uint32_t)sched_running_count(c->sched),
+		.running = (uint32_t)sched_active_count(c->sched),
 		.oldest_queued_ms = (uint32_t)(v.oldest / NSEC_PER_MSEC),
 		.config_revision = c->config_number,
 	};
@@ -352,7 +352,7 @@
 	while (g_hash_table_iter_next(&it, &key, NULL))
 		coord_send(c, *(peer_id *)key, &m);
 	counter_set(&queued_gauge, sched_queued_count(c->sched));
-	counter_set(&placed_gauge, sched_running_count(c->sched));
+	counter_set(&placed_gauge, sched_active_count(c->sched));
 	c->last_summary = now;
 }
 
--- a/packages/coordination/coord.h
+++ b/packages/coordination/coord.h
@@ -32,7 +32,7 @@
 	const char *roster, GPtrArray *records, const struct doc *config);
 uint64_t coord_term(const struct coord *c);
 /* Adopts a configuration, unless it is older than the current one. */
-void coord_set_doc(struct coord *c, int64_t now, const struct doc *config);
+void coord_set_config(struct coord *c, int64_t now, const struct doc *config);
 void coord_hello(struct coord *c, int64_t now, peer_id peer, const struct msg_hello *h);
 void coord_message(struct coord *c, int64_t now, peer_id peer, const struct msg *m);
 void coord_peer_closed(struct coord *c, int64_t now, peer_id peer);
@@ -43,14 +43,14 @@
  * jobs go back to their entries. Returns the number of answers sent, 0 once no job is left to
  * give back.
  */
-size_t coord_return_queued(struct coord *c);
+size_t coord_hand_over_queued(struct coord *c);
 bool coord_has_successor(struct coord *c, const char *self);
 /*
  * Returns the number of jobs that a planned stop waits for if no other agent can take over:
  * jobs whose reservations were sent and that have not ended, and jobs with an unsent
  * acknowledgement.
  */
-size_t coord_open_jobs(const struct coord *c);
+size_t coord_unfinished_jobs(const struct coord *c);
 
 /* Job records to write. The daemon writes them and then calls coord_batch_done. */
 struct coord_batch {
--- a/packages/coordination/sched.c
+++ b/packages/coordination/sched.c
@@ -383,7 +383,7 @@
 }
 
 /* Applies a new configuration. */
-void sched_set_doc(struct sched *s, int64_t now, const struct doc *d, const char *cell)
+void sched_set_config(struct sched *s, int64_t now, const struct doc *d, const char *cell)
 {
 	const struct doc_org *o;
 	const struct doc_class *c;
@@ -528,7 +528,7 @@
  * agent refused the reservation of resources for a member. Unless the job was cancelled, it is
  * queued again. Reservations of workers for blocked jobs (reserved_for) are unrelated.
  */
-void sched_reserve_failed(struct sched *s, int64_t now, job_ref job, uint32_t attempt)
+void sched_attempt_withdrawn(struct sched *s, int64_t now, job_ref job, uint32_t attempt)
 {
 	struct sched_job *j = sched_job(s, job);
 
@@ -755,7 +755,7 @@
  * Returns the number of jobs that have resources allocated: those that wait for borrowers to
  * stop, are starting, run or are stopping.
  */
-size_t sched_running_count(const struct sched *s)
+size_t sched_active_count(const struct sched *s)
 {
 	return s->active->len;
 }
--- a/packages/coordination/sched.h
+++ b/packages/coordination/sched.h
@@ -209,7 +209,7 @@
 struct sched;
 struct sched *sched_new(enum sched_policy policy, uint64_t seed);
 void sched_free(struct sched *s);
-void sched_set_doc(struct sched *s, int64_t now, const struct doc *d, const char *cell);
+void sched_set_config(struct sched *s, int64_t now, const struct doc *d, const char *cell);
 uint32_t sched_worker_up(struct sched *s, int64_t now, const struct sched_worker_spec *spec);
 void sched_worker_down(struct sched *s, int64_t now, uint32_t worker);
 void sched_worker_drain(struct sched *s, uint32_t worker, bool draining);
@@ -219,7 +219,7 @@
 	uint32_t attempt, const struct sched_member *members, uint32_t len, int64_t running);
 void sched_cancel(struct sched *s, int64_t now, job_ref job);
 void sched_started(struct sched *s, int64_t now, job_ref job, uint32_t attempt);
-void sched_reserve_failed(struct sched *s, int64_t now, job_ref job, uint32_t attempt);
+void sched_attempt_withdrawn(struct sched *s, int64_t now, job_ref job, uint32_t attempt);
 void sched_member_ended(struct sched *s, int64_t now, job_ref job, uint32_t attempt,
 	uint32_t member, enum member_end end, int64_t saved);
 void sched_remove_job(struct sched *s, job_ref job);
@@ -229,7 +229,7 @@
 struct sched_job *sched_job(struct sched *s, job_ref job);
 const struct sched_counts *sched_counts(const struct sched *s);
 size_t sched_queued_count(const struct sched *s);
-size_t sched_running_count(const struct sched *s);
+size_t sched_active_count(const struct sched *s);
 void sched_set_settling(struct sched *s, bool settling);
 
 /* sched-view.c: read-only views for operators and tests. */
--- a/packages/daemon/agent-host.c
+++ b/packages/daemon/agent-host.c
@@ -169,7 +169,7 @@
 		config_snapshot_clear(&a->host.config);
 		a->host.config = w->config;
 		memset(&w->config, 0, sizeof(w->config));
-		coord_set_doc(a->host.coord, loop_now(a->p->loop), w->doc);
+		coord_set_config(a->host.coord, loop_now(a->p->loop), w->doc);
 	}
 	if (!w->ok && error_kind_of(w->err) == ERR_CONFLICT)
 		log_error("coord", "The configuration was not adopted: %s.", w->err->message);
--- a/packages/daemon/agent.c
+++ b/packages/daemon/agent.c
@@ -177,10 +177,11 @@
 		return;
 	/* Jobs that an agent rejected are queued again; their return takes until the next tick.
 	 */
-	if (coord_return_queued(a->host.coord) > 0)
+	if (coord_hand_over_queued(a->host.coord) > 0)
 		return;
 	if (!coord_has_successor(a->host.coord, a->name) &&
-		(coord_open_jobs(a->host.coord) > 0 || agent_core_unacked_ends(a->core) > 0))
+		(coord_unfinished_jobs(a->host.coord) > 0 ||
+			agent_core_unacked_ends(a->core) > 0))
 		return;
 	host_release(a);
 	host_step_down(a, "this process is stopping");
@@ -258,7 +259,7 @@
 	agent_core_drain(a->core);
 	agent_core_report(a->core, now);
 	if (a->host.coord != NULL)
-		coord_return_queued(a->host.coord);
+		coord_hand_over_queued(a->host.coord);
 }
 
 /*
--- a/packages/daemon/entry.c
+++ b/packages/daemon/entry.c
@@ -72,7 +72,7 @@
 bool entry_idle(const struct entry *e)
 {
 	return LIST_EMPTY(&e->open_jobs) && g_hash_table_size(e->queries) == 0 &&
-	       http_server_open(e->http) == 0;
+	       http_server_open_requests(e->http) == 0;
 }
 
 /* Fails the jobs that are still open when a graceful stop reaches its time limit. */
--- a/packages/daemon/wl-entry-job.c
+++ b/packages/daemon/wl-entry-job.c
@@ -411,7 +411,7 @@
 static bool authenticate(
 	struct entry_call *c, const struct wl_config *config, const struct wl_queue *q)
 {
-	const struct wl_org *org = wl_config_key(config, c->api_key);
+	const struct wl_org *org = wl_config_org_by_key(config, c->api_key);
 
 	if (org == NULL && !q->open) {
 		entry_call_reply_error(c, 401, 0, "the key is not known");
@@ -495,7 +495,7 @@
 	}
 	if (strcmp(http_method(c->request), "POST") == 0 && config != NULL &&
 		wl_config_route(config, c->host, c->path) != NULL &&
-		wl_config_key(config, c->api_key) != NULL) {
+		wl_config_org_by_key(config, c->api_key) != NULL) {
 		dispatch(c, config);
 		return;
 	}
--- a/packages/daemon/wl-entry.c
+++ b/packages/daemon/wl-entry.c
@@ -133,13 +133,13 @@
 }
 
 /*
- * Whether all calls are answered and no more are expected. http_server_open is the number of
- * requests that are being read or answered.
+ * Whether all calls are answered and no more are expected. http_server_open_requests is the
+ * number of requests that are being read or answered.
  */
 bool wl_entry_idle(const struct wl_entry *e)
 {
 	return e->stopping && loop_now(e->p->loop) >= e->stop_at && e->open == 0 &&
-	       http_server_open(e->caller_server) == 0;
+	       http_server_open_requests(e->caller_server) == 0;
 }
 
 /* The entry must be idle. */
--- a/packages/transport/frame.c
+++ b/packages/transport/frame.c
@@ -11,7 +11,7 @@
 
 struct frame_key {
 	uint8_t bytes[HMAC_LEN];
-	uint8_t id[FRAME_KEY_ID];
+	uint8_t id[FRAME_KEY_ID_LEN];
 };
 
 /* Diallers use the first key; acceptors accept any of them. */
@@ -25,7 +25,7 @@
 	bool dialler;
 	/* The peer's greeting has been processed. */
 	bool ready;
-	uint8_t greeting[FRAME_GREET_LEN];
+	uint8_t greeting[FRAME_GREETING_LEN];
 	GHmac *send_mac;
 	GHmac *recv_mac;
 	uint64_t send_seq;
@@ -73,7 +73,7 @@
 		g_checksum_get_digest(sum, s->bytes, &len);
 		g_checksum_free(sum);
 		hmac_sha256_parts(s->bytes, "id", 2, NULL, 0, NULL, 0, id);
-		memcpy(s->id, id, FRAME_KEY_ID);
+		memcpy(s->id, id, FRAME_KEY_ID_LEN);
 		k->count++;
 	}
 	return k;
@@ -92,8 +92,8 @@
 	c->keys = keys;
 	c->dialler = dialler;
 	memcpy(c->greeting, GREETING_MAGIC, 4);
-	memcpy(c->greeting + 4, keys->keys[0].id, FRAME_KEY_ID);
-	random_bytes(c->greeting + 4 + FRAME_KEY_ID, FRAME_NONCE_LEN);
+	memcpy(c->greeting + 4, keys->keys[0].id, FRAME_KEY_ID_LEN);
+	random_bytes(c->greeting + 4 + FRAME_KEY_ID_LEN, FRAME_NONCE_LEN);
 	return c;
 }
 
@@ -111,7 +111,7 @@
 /* Returns the greeting, which must be the first bytes sent on the connection. */
 const uint8_t *frame_greeting(struct frame_codec *c, size_t *len)
 {
-	*len = FRAME_GREET_LEN;
+	*len = FRAME_GREETING_LEN;
 	return c->greeting;
 }
 
@@ -136,7 +136,7 @@
 static const struct frame_key *find_key(const struct keyring *k, const uint8_t *id)
 {
 	for (size_t i = 0; i < k->count; i++) {
-		if (memcmp(k->keys[i].id, id, FRAME_KEY_ID) == 0)
+		if (memcmp(k->keys[i].id, id, FRAME_KEY_ID_LEN) == 0)
 			return &k->keys[i];
 	}
 	return NULL;
@@ -145,8 +145,8 @@
 /* Checks the peer's greeting and derives the keys of both directions. */
 static bool process_greeting(struct frame_codec *c, const uint8_t *data, GError **err)
 {
-	const uint8_t *local_nonce = c->greeting + 4 + FRAME_KEY_ID;
-	const uint8_t *peer_nonce = data + 4 + FRAME_KEY_ID;
+	const uint8_t *local_nonce = c->greeting + 4 + FRAME_KEY_ID_LEN;
+	const uint8_t *peer_nonce = data + 4 + FRAME_KEY_ID_LEN;
 	const uint8_t *id = c->dialler ? c->greeting + 4 : data + 4;
 	const struct frame_key *s = find_key(c->keys, id);
 
@@ -217,26 +217,26 @@
 
 	out->used = 0;
 	if (!c->ready) {
-		if (len < FRAME_GREET_LEN)
-			return FRAME_MORE;
-		out->used = FRAME_GREET_LEN;
-		return process_greeting(c, data, err) ? FRAME_GREETED : FRAME_BAD;
+		if (len < FRAME_GREETING_LEN)
+			return FRAME_INCOMPLETE;
+		out->used = FRAME_GREETING_LEN;
+		return process_greeting(c, data, err) ? FRAME_GREETED : FRAME_INVALID;
 	}
 	if (len < FRAME_HEADER_LEN)
-		return FRAME_MORE;
+		return FRAME_INCOMPLETE;
 	memcpy(&len_be, data, sizeof(len_be));
 	body_len = ntohl(len_be);
 	if (body_len > FRAME_BODY_MAX) {
 		error_set(err, ERR_TOO_LARGE, "a frame body of %zu bytes exceeds the limit",
 			body_len);
-		return FRAME_BAD;
+		return FRAME_INVALID;
 	}
 	if (len < FRAME_HEADER_LEN + body_len)
-		return FRAME_MORE;
+		return FRAME_INCOMPLETE;
 	compute_frame_mac(c->recv_mac, c->recv_seq, data + FRAME_HEADER_LEN, body_len, mac);
 	if (!mac_equal(mac, data + 4)) {
 		error_set(err, ERR_UNAUTHORISED, "a frame has an invalid authentication code");
-		return FRAME_BAD;
+		return FRAME_INVALID;
 	}
 	c->recv_seq++;
 	out->body = data + FRAME_HEADER_LEN;
--- a/packages/transport/http-client.c
+++ b/packages/transport/http-client.c
@@ -98,7 +98,7 @@
 	curl_easy_setopt(t->easy, CURLOPT_NOPROXY, "*");
 	curl_easy_setopt(t->easy, CURLOPT_TCP_NODELAY, 1L);
 	curl_easy_setopt(t->easy, CURLOPT_CONNECTTIMEOUT_MS, CONNECT_TIMEOUT_MS);
-	if (c->fresh)
+	if (c->fresh_connection)
 		curl_easy_setopt(t->easy, CURLOPT_FRESH_CONNECT, 1L);
 	if (c->timeout > 0)
 		curl_easy_setopt(
--- a/packages/transport/http-server.c
+++ b/packages/transport/http-server.c
@@ -218,7 +218,7 @@
 }
 
 /* Returns the number of requests that are not finished. */
-unsigned int http_server_open(const struct http_server *s)
+unsigned int http_server_open_requests(const struct http_server *s)
 {
 	return __atomic_load_n(&s->open_requests, __ATOMIC_RELAXED);
 }
--- a/packages/transport/peer-net.c
+++ b/packages/transport/peer-net.c
@@ -209,10 +209,10 @@
 
 		consumed += view.used;
 		switch (res) {
-		case FRAME_MORE:
+		case FRAME_INCOMPLETE:
 			g_byte_array_remove_range(p->recv_buf, 0, (guint)consumed);
 			return true;
-		case FRAME_BAD:
+		case FRAME_INVALID:
 			drop_peer(p, err);
 			return false;
 		case FRAME_GREETED:
--- a/packages/transport/transport.h
+++ b/packages/transport/transport.h
@@ -4,12 +4,12 @@
 #include "base.h"
 
 /* Sizes of frames and greetings in bytes. */
-#define FRAME_BODY_MAX	 (8u * 1024 * 1024)
-#define FRAME_MAC_LEN	 16
-#define FRAME_HEADER_LEN (4 + FRAME_MAC_LEN)
-#define FRAME_NONCE_LEN	 16
-#define FRAME_KEY_ID	 8
-#define FRAME_GREET_LEN	 (4 + FRAME_KEY_ID + FRAME_NONCE_LEN)
+#define FRAME_BODY_MAX	   (8u * 1024 * 1024)
+#define FRAME_MAC_LEN	   16
+#define FRAME_HEADER_LEN   (4 + FRAME_MAC_LEN)
+#define FRAME_NONCE_LEN	   16
+#define FRAME_KEY_ID_LEN   8
+#define FRAME_GREETING_LEN (4 + FRAME_KEY_ID_LEN + FRAME_NONCE_LEN)
 
 /* net-addr.c: IPv4 addresses and TCP sockets. */
 bool addr_parse(const char *text, char **host, int *port, GError **err);
@@ -35,13 +35,13 @@
 /* What frame_decode found at the start of the input. */
 enum frame_result {
 	/* Incomplete: more input is needed. */
-	FRAME_MORE,
+	FRAME_INCOMPLETE,
 	/* A valid greeting; the codec is ready. */
 	FRAME_GREETED,
 	/* A frame with a valid MAC. */
 	FRAME_BODY,
 	/* Malformed or not authentic; the connection must be closed. */
-	FRAME_BAD
+	FRAME_INVALID
 };
 struct frame_view {
 	/* The body of a frame, within the input. */
@@ -92,7 +92,7 @@
 struct http_server *http_server_new(const char *addr, const struct http_limits *limits,
 	http_handler *handler, void *arg, GError **err);
 const char *http_server_addr(const struct http_server *s);
-unsigned int http_server_open(const struct http_server *s);
+unsigned int http_server_open_requests(const struct http_server *s);
 void http_server_quiesce(struct http_server *s);
 void http_server_free(struct http_server *s);
 const char *http_method(const struct http_request *r);
@@ -118,7 +118,7 @@
 	struct bytes body;
 	int64_t timeout; /* nanoseconds; 0 for none */
 	/* Opens a new connection: pooled ones may be dead without a reset. */
-	bool fresh;
+	bool fresh_connection;
 	/* The response; without one, status is 0 and error is set. */
 	int status;
 	struct bytes answer;
--- a/packages/workload/wl-config.c
+++ b/packages/workload/wl-config.c
@@ -94,7 +94,7 @@
 }
 
 /* Returns the organisation that an API key belongs to, or NULL. */
-const struct wl_org *wl_config_key(const struct wl_config *c, const char *key)
+const struct wl_org *wl_config_org_by_key(const struct wl_config *c, const char *key)
 {
 	return key != NULL ? g_hash_table_lookup(c->orgs_by_key, key) : NULL;
 }
--- a/packages/workload/wl-node.c
+++ b/packages/workload/wl-node.c
@@ -447,7 +447,7 @@
 		node_record_failure(n, now);
 		n->blocked_until = now + UNHEALTHY_BACKOFF;
 		break;
-	case WL_ANSWER_REFUSED_ROOM:
+	case WL_ANSWER_REFUSED_NO_CAPACITY:
 	case WL_ANSWER_REFUSED_OTHER:
 		n->blocked_until = now + REFUSAL_BACKOFF;
 		break;
--- a/packages/workload/workload.h
+++ b/packages/workload/workload.h
@@ -150,7 +150,7 @@
 const struct wl_queue *wl_config_queue(const struct wl_config *c, const char *name);
 const struct wl_queue *wl_config_route(
 	const struct wl_config *c, const char *host, const char *path);
-const struct wl_org *wl_config_key(const struct wl_config *c, const char *key);
+const struct wl_org *wl_config_org_by_key(const struct wl_config *c, const char *key);
 const struct wl_org *wl_config_org(const struct wl_config *c, const char *name);
 
 /* How a run ended, as reported by the worker. */
@@ -175,9 +175,9 @@
 	 * REFUSED_*: the worker has not started this attempt and never will; the task is placed
 	 * again with a new attempt.
 	 */
-	WL_ANSWER_REFUSED_OLD,	  /* the attempt is stale */
-	WL_ANSWER_REFUSED_ROOM,	  /* no capacity */
-	WL_ANSWER_REFUSED_TICKET, /* the approval ticket is invalid */
+	WL_ANSWER_REFUSED_STALE_ATTEMPT,  /* the attempt is stale */
+	WL_ANSWER_REFUSED_NO_CAPACITY,	  /* no capacity */
+	WL_ANSWER_REFUSED_INVALID_TICKET, /* the approval ticket is invalid */
 	WL_ANSWER_REFUSED_OTHER,
 	/* The worker is unhealthy and did not try. */
 	WL_ANSWER_UNHEALTHY
--- a/tests/property/prop-gang.cc
+++ b/tests/property/prop-gang.cc
@@ -618,6 +618,6 @@
 
 void prop_gang()
 {
-	prop("gang: invariants hold under any order of losses, crashes and takeovers",
+	check_property("gang: invariants hold under any order of losses, crashes and takeovers",
 		invariants_hold);
 }
--- a/tests/property/prop-pack.cc
+++ b/tests/property/prop-pack.cc
@@ -48,6 +48,6 @@
 
 void prop_pack()
 {
-	prop("pack: shapes are complete, satisfy adjacency and fit free capacity",
+	check_property("pack: shapes are complete, satisfy adjacency and fit free capacity",
 		packing_is_valid);
 }
--- a/tests/property/prop-protocol.cc
+++ b/tests/property/prop-protocol.cc
@@ -87,7 +87,7 @@
 	for (auto &b : bodies)
 		frame_encode(d, wire, b.data(), b.size());
 	if (flip_bit)
-		wire->data[*rc::gen::inRange<size_t>(FRAME_GREET_LEN + 4, wire->len)] ^= 1;
+		wire->data[*rc::gen::inRange<size_t>(FRAME_GREETING_LEN + 4, wire->len)] ^= 1;
 	bool rejected = false;
 	while (!rejected && consumed < wire->len) {
 		available = std::max(available, consumed) + *rc::gen::inRange<size_t>(1, 64);
@@ -97,13 +97,13 @@
 				a, wire->data + consumed, available - consumed, &view, nullptr);
 
 			consumed += view.used;
-			rejected = r == FRAME_BAD;
+			rejected = r == FRAME_INVALID;
 			if (r == FRAME_BODY) {
 				RC_ASSERT(std::string((const char *)view.body, view.len) ==
 					  bodies[received]);
 				received++;
 			}
-			if (r == FRAME_MORE || rejected)
+			if (r == FRAME_INCOMPLETE || rejected)
 				break;
 		}
 		if (available == wire->len && !rejected)
@@ -135,7 +135,7 @@
 	frame_view view;
 	size_t len;
 	const uint8_t *greeting = frame_greeting(d, &len);
-	bool same_key = memcmp(greeting, frame_greeting(o, &len), 4 + FRAME_KEY_ID) == 0;
+	bool same_key = memcmp(greeting, frame_greeting(o, &len), 4 + FRAME_KEY_ID_LEN) == 0;
 
 	RC_ASSERT(
 		(frame_decode(a, greeting, len, &view, nullptr) == FRAME_GREETED) == !same_key);
@@ -149,11 +149,11 @@
 
 void prop_protocol()
 {
-	prop("protocol: a decoded message encodes to the same bytes", codec_round_trip);
-	prop("protocol: a corrupted message is rejected or decoded safely",
+	check_property("protocol: a decoded message encodes to the same bytes", codec_round_trip);
+	check_property("protocol: a corrupted message is rejected or decoded safely",
 		codec_corrupted_input);
-	prop("transport: frames arrive intact over any split; a flipped bit is detected",
+	check_property("transport: frames arrive intact over any split; a flipped bit is detected",
 		frames_over_split_stream);
-	prop("transport: a greeting is accepted only from a peer with a shared key",
+	check_property("transport: a greeting is accepted only from a peer with a shared key",
 		greeting_requires_shared_key);
 }
--- a/tests/property/prop-sched.cc
+++ b/tests/property/prop-sched.cc
@@ -113,7 +113,7 @@
 				sim.open_members[a.job].insert(i);
 		} else if (a.kind == SCHED_ACTION_STOP &&
 			   sim.placed_attempt.count(a.job) == 0) {
-			sched_reserve_failed(sim.sched, sim.now, a.job, a.attempt);
+			sched_attempt_withdrawn(sim.sched, sim.now, a.job, a.attempt);
 		} else if (a.kind == SCHED_ACTION_END) {
 			RC_ASSERT(sim.end_count[sim.job_ids[a.job]]++ == 0);
 			if (a.end.not_run)
@@ -177,7 +177,7 @@
 		auto &open = sim.open_members[job];
 
 		if (kind == 10 && sched_job(sim.sched, job)->started_at == 0) {
-			sched_reserve_failed(sim.sched, sim.now, job, attempt);
+			sched_attempt_withdrawn(sim.sched, sim.now, job, attempt);
 			sim.placed_attempt.erase(job);
 		} else {
 			static const member_end ends[] = {MEMBER_END_DONE, MEMBER_END_DONE,
@@ -245,7 +245,7 @@
 
 		reduced.guarantees[r % cell.guarantees.size()].clear();
 		doc *d = make_doc(r & 64 ? cell : reduced, ++sim.doc_number);
-		sched_set_doc(sim.sched, sim.now, d, "c");
+		sched_set_config(sim.sched, sim.now, d, "c");
 		doc_free(d);
 	}
 }
@@ -257,7 +257,7 @@
 	doc *d = make_doc(cell, 0);
 
 	sim.sched = sched_new(SCHED_POLICY_FULL, 7);
-	sched_set_doc(sim.sched, sim.now, d, "c");
+	sched_set_config(sim.sched, sim.now, d, "c");
 	doc_free(d);
 	for (int i = 0; i < cell.workers; i++) {
 		std::string name = "w" + std::to_string(i),
@@ -324,7 +324,7 @@
 		apply_actions(sim);
 	}
 	doc *d = make_doc(cell, 1000000);
-	sched_set_doc(sim.sched, sim.now, d, "c");
+	sched_set_config(sim.sched, sim.now, d, "c");
 	doc_free(d);
 	for (int i = 0; i < cell.workers; i++) {
 		std::string name = "w" + std::to_string(i),
@@ -334,7 +334,7 @@
 		sched_worker_up(sim.sched, sim.now, &spec);
 	}
 	for (int round = 0; round < 4000 && (sched_queued_count(sim.sched) +
-						    sched_running_count(sim.sched)) > 0;
+						    sched_active_count(sim.sched)) > 0;
 		round++) {
 		sim.now += SEC;
 		for (auto &p : std::map<job_ref, uint32_t>(sim.placed_attempt)) {
@@ -350,7 +350,7 @@
 		apply_actions(sim);
 		check_invariants(sim);
 	}
-	size_t queued = sched_queued_count(sim.sched), running = sched_running_count(sim.sched),
+	size_t queued = sched_queued_count(sim.sched), running = sched_active_count(sim.sched),
 	       ended = sim.end_count.size();
 	sched_free(sim.sched);
 	RC_ASSERT(queued == 0u);
@@ -370,7 +370,7 @@
 
 	cell.guarantees.push_back({});
 	doc *d = make_doc(cell, 1);
-	sched_set_doc(sim.sched, sim.now, d, "c");
+	sched_set_config(sim.sched, sim.now, d, "c");
 	doc_free(d);
 	std::string borrower = "org" + std::to_string(cell.guarantees.size() - 1);
 	int n = *rc::gen::inRange(1, 120);
@@ -428,8 +428,8 @@
 
 void prop_sched()
 {
-	prop("sched: the invariants hold after every event", invariants_hold);
-	prop("sched: the same events give the same actions", scheduling_is_deterministic);
-	prop("sched: every job ends with exactly one outcome", all_jobs_end);
-	prop("sched: guarantees are reclaimed from borrowers", guarantee_is_reclaimed);
+	check_property("sched: the invariants hold after every event", invariants_hold);
+	check_property("sched: the same events give the same actions", scheduling_is_deterministic);
+	check_property("sched: every job ends with exactly one outcome", all_jobs_end);
+	check_property("sched: guarantees are reclaimed from borrowers", guarantee_is_reclaimed);
 }
--- a/tests/property/prop-workload.cc
+++ b/tests/property/prop-workload.cc
@@ -223,7 +223,7 @@
 	if (k.runs.count(task) && k.runs[task].attempt == attempt)
 		return WL_ANSWER_RUNNING;
 	if (attempt <= k.highest_attempt[task])
-		return WL_ANSWER_REFUSED_OLD;
+		return WL_ANSWER_REFUSED_STALE_ATTEMPT;
 	if (spec == nullptr) {
 		sim->violation("start of unknown task " + task);
 		return WL_ANSWER_REFUSED_OTHER;
@@ -824,7 +824,7 @@
 
 void prop_workload()
 {
-	prop("workload: no task runs twice, over capacity, before its dependencies or after "
+	check_property("workload: no task runs twice, over capacity, before its dependencies or after "
 	     "its end",
 		[] { simulate(*rc::gen::inRange<uint32_t>(0, UINT32_MAX)); });
 }
--- a/tests/property/prop.h
+++ b/tests/property/prop.h
@@ -9,7 +9,7 @@
 }
 
 /* Checks a property with random cases, prints the result and counts it for the exit status. */
-template <typename F> void prop(const char *name, F &&fn)
+template <typename F> void check_property(const char *name, F &&fn)
 {
 	extern int properties_passed, properties_failed;
 
--- a/tests/scenario/audit.c
+++ b/tests/scenario/audit.c
@@ -171,19 +171,19 @@
 {
 	GPtrArray *runs = read_runs(s);
 
-	s->t.runs += runs->len;
+	s->counts.runs += runs->len;
 	for (guint i = 0; i < s->jobs->len; i++) {
 		const struct job *j = s->jobs->pdata[i];
 		uint32_t n = count_starts(runs, j);
 
 		if (!may_run_twice(s, j) && n > 1) {
 			fprintf(stderr, "%s: job %s ran %u times\n", s->file, j->name, n);
-			s->t.doubled++;
+			s->counts.doubled++;
 		}
 		if (j->not_run && n > 0 && j->key == NULL) {
 			fprintf(stderr, "%s: job %s ran but was reported as not run\n", s->file,
 				j->name);
-			s->t.false_not_run++;
+			s->counts.false_not_run++;
 		}
 	}
 	for (guint i = 0; i < runs->len; i++) {
@@ -193,7 +193,7 @@
 			fprintf(stderr, "%s: attempt %s ran partially for %.1f s\n", s->file,
 				r->attempt,
 				(double)partial_run_time(runs, r) / (double)NSEC_PER_SEC);
-			s->t.partial++;
+			s->counts.partial++;
 		}
 	}
 	g_ptr_array_unref(runs);
--- a/tests/scenario/client.c
+++ b/tests/scenario/client.c
@@ -39,7 +39,7 @@
 {
 	struct proc *p = j->entry_name != NULL ? proc_find(s, j->entry_name) : NULL;
 
-	return p != NULL ? p->addr : any_entry(s);
+	return p != NULL ? p->addr : any_entry_addr(s);
 }
 
 struct submission {
@@ -94,7 +94,7 @@
 	struct http_call *c;
 	json_t *o;
 
-	xasprintf(&url, "http://%s%s", entry != NULL ? entry : any_entry(s), path);
+	xasprintf(&url, "http://%s%s", entry != NULL ? entry : any_entry_addr(s), path);
 	c = http_call_new("GET", url);
 	c->timeout = 10 * NSEC_PER_SEC;
 	http_call_run(c);
--- a/tests/scenario/proc.c
+++ b/tests/scenario/proc.c
@@ -93,14 +93,14 @@
 /* Start a process and wait until it is ready; takes ownership of argv. */
 struct proc *proc_start(struct scenario *s, const char *name, char **argv)
 {
-	return proc_start_node(s, name, argv, NULL);
+	return proc_start_with_node_file(s, name, argv, NULL);
 }
 
 /*
  * Like proc_start(), with the path of the platform's settings file in DAMASKPATH_NODE_FILE
  * unless it is NULL.
  */
-struct proc *proc_start_node(
+struct proc *proc_start_with_node_file(
 	struct scenario *s, const char *name, char **argv, const char *node_file)
 {
 	struct proc *p = xcalloc(1, sizeof(*p));
@@ -147,7 +147,7 @@
 }
 
 /* Report the processes that ended without being stopped or killed. */
-void proc_watch(struct scenario *s)
+void proc_check_crashes(struct scenario *s)
 {
 	for (guint i = 0; i < s->procs->len; i++) {
 		struct proc *p = s->procs->pdata[i];
@@ -225,7 +225,7 @@
  * Return a loopback address that is not in use. Its port is below the ephemeral ports and in a
  * range of this runner, so that nothing else takes it while its process is being restarted.
  */
-char *free_addr(void)
+char *unused_addr(void)
 {
 	static int range = -1;
 	static int used;
--- a/tests/scenario/runner.c
+++ b/tests/scenario/runner.c
@@ -35,14 +35,14 @@
 		abort();
 	va_end(ap);
 	fprintf(stderr, "%s:%d: %s\n", s->file, s->line, text);
-	s->t.failed++;
+	s->counts.failed++;
 }
 
 /*
  * Return the address of the first entry that runs and is not stopping, or an address that
  * refuses connections. Entries are the processes whose names start with "e".
  */
-const char *any_entry(struct scenario *s)
+const char *any_entry_addr(struct scenario *s)
 {
 	for (guint i = 0; i < s->procs->len; i++) {
 		const struct proc *p = s->procs->pdata[i];
@@ -142,7 +142,7 @@
 {
 	g_autofree char *prog = g_strconcat(s->bin, "/damaskpathd", NULL);
 	g_autofree char *store = g_strconcat("--store=http://", s->store->addr, NULL);
-	g_autofree char *http_addr = free_addr();
+	g_autofree char *http_addr = unused_addr();
 	g_autofree char *http = g_strconcat("--http=", http_addr, NULL);
 	g_autofree char *name = g_strconcat("--name=", w[1], NULL);
 	g_autofree char *extra = w[2] != NULL ? g_strconcat("--", w[2], NULL) : NULL;
@@ -158,9 +158,9 @@
 	g_autofree char *prog = g_strconcat(s->bin, "/damaskpathd", NULL);
 	g_autofree char *standin = g_strconcat(s->bin, "/standin-upstream", NULL);
 	g_autofree char *store = g_strconcat("--store=http://", s->store->addr, NULL);
-	g_autofree char *peer_addr = free_addr();
-	g_autofree char *http_addr = free_addr();
-	g_autofree char *up_addr = free_addr();
+	g_autofree char *peer_addr = unused_addr();
+	g_autofree char *http_addr = unused_addr();
+	g_autofree char *up_addr = unused_addr();
 	g_autofree char *agent_name = g_strconcat(w[1], ".agent", NULL);
 	g_autofree char *name = g_strconcat("--name=", w[1], NULL);
 	g_autofree char *http = g_strconcat("--agent-http=", http_addr, NULL);
@@ -209,7 +209,7 @@
 		int status = 0;
 
 		while (status != 200 && now_ns() < limit) {
-			status = client_put(any_entry(s), path, sec->text, NULL);
+			status = client_put(any_entry_addr(s), path, sec->text, NULL);
 			if (status != 200)
 				usleep(50000);
 		}
@@ -276,7 +276,7 @@
 		n = config_number(s, p->addr);
 		last = g_hash_table_lookup(s->config_numbers, p->name);
 		if (n > 0 && last != NULL && n < *last)
-			s->t.reverted++;
+			s->counts.reverted++;
 		if (n > 0)
 			g_hash_table_replace(
 				s->config_numbers, g_strdup(p->name), g_memdup2(&n, sizeof(n)));
@@ -488,7 +488,7 @@
 		usleep(5000);
 	if (j == NULL || j->id == NULL)
 		return;
-	url = g_strdup_printf("http://%s/v1/jobs/%s", any_entry(s), j->id);
+	url = g_strdup_printf("http://%s/v1/jobs/%s", any_entry_addr(s), j->id);
 	c = http_call_new("DELETE", url);
 	http_call_run(c);
 	http_call_free(c);
@@ -611,7 +611,7 @@
 	if (!ok)
 		fail(s, "no probe job was done");
 	if (s->last_fault_at > 0)
-		s->t.recovery_s = MAX(s->t.recovery_s,
+		s->counts.recovery_s = MAX(s->counts.recovery_s,
 			(double)(now_ns() - s->last_fault_at) / (double)NSEC_PER_SEC);
 }
 
@@ -690,7 +690,7 @@
 		json_t *o = client_get(s, NULL, path, &status);
 
 		if (json_integer_value(json_object_get(o, "number")) != r[i].last_number)
-			s->t.reverted++;
+			s->counts.reverted++;
 		json_decref(o);
 		g_free(r[i].section);
 	}
@@ -704,7 +704,7 @@
 {
 	g_autofree char *path = g_strdup_printf("/v1/config/%s?base=%s", w[1], w[2]);
 	g_autofree char *text = g_strjoinv(" ", w + 4);
-	int status = client_put(any_entry(s), path, text, NULL);
+	int status = client_put(any_entry_addr(s), path, text, NULL);
 
 	if (status != atoi(w[3]))
 		fail(s, "edit got HTTP status %d, expected %s", status, w[3]);
@@ -829,7 +829,7 @@
 		all[n] = sleep;
 		submit_job(s, name, all);
 		usleep((useconds_t)(step / 1000));
-		proc_watch(s);
+		proc_check_crashes(s);
 		if (now_ns() > next_fault && i < jobs * 9 / 10) {
 			random_fault(s);
 			next_fault =
@@ -940,7 +940,7 @@
 		else
 			commands[i].exec(s, w);
 		check_config_numbers(s);
-		proc_watch(s);
+		proc_check_crashes(s);
 		return;
 	}
 	fail(s, "unknown command %s", w[0]);
@@ -983,14 +983,14 @@
 			(j->outcome == NULL && !j->cut)) {
 			fprintf(stderr, "%s: job %s has no outcome (%s)\n", s->file, j->name,
 				j->id ? j->id : "no ID");
-			s->t.lost++;
+			s->counts.lost++;
 		}
 		if (j->cut) {
 			struct proc *e =
 				j->entry_name != NULL ? proc_find(s, j->entry_name) : NULL;
 
 			if (e == NULL || !e->killed)
-				s->t.cut++;
+				s->counts.cut++;
 		}
 	}
 	audit_check_runs(s);
@@ -1039,7 +1039,7 @@
 			g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free)};
 	uint32_t seed = argc > 3 ? (uint32_t)atoi(argv[3]) : 1;
 	g_autofree char *base = NULL;
-	struct scenario_counts *c = &s.t;
+	struct scenario_counts *c = &s.counts;
 	uint32_t violations;
 
 	if (argc < 3) {
--- a/tests/scenario/runner.h
+++ b/tests/scenario/runner.h
@@ -91,22 +91,22 @@
 	/* Entry name to the last configuration number that it reported. */
 	GHashTable *config_numbers;
 	GRand *rand;
-	struct scenario_counts t;
+	struct scenario_counts counts;
 	FILE *transcript;
 	int expect_running;
 };
 
 /* proc.c */
 struct proc *proc_start(struct scenario *s, const char *name, char **argv);
-struct proc *proc_start_node(
+struct proc *proc_start_with_node_file(
 	struct scenario *s, const char *name, char **argv, const char *node_file);
 void proc_restart(struct scenario *s, struct proc *p);
 bool proc_signal(struct scenario *s, struct proc *p, int sig);
 struct proc *proc_find(struct scenario *s, const char *name);
-void proc_watch(struct scenario *s);
+void proc_check_crashes(struct scenario *s);
 int proc_reap(struct proc *p, int64_t limit);
 void proc_free(void *p);
-char *free_addr(void);
+char *unused_addr(void);
 
 /* relay.c: a TCP proxy that injects network faults. */
 enum relay_mode {
@@ -139,6 +139,6 @@
 /* runner.c */
 int64_t now_ns(void);
 void fail(struct scenario *s, const char *fmt, ...) __attribute__((format(printf, 2, 3)));
-const char *any_entry(struct scenario *s);
+const char *any_entry_addr(struct scenario *s);
 
 #endif
--- a/tests/soak/main.c
+++ b/tests/soak/main.c
@@ -32,11 +32,11 @@
 	vfprintf(stderr, fmt, ap);
 	va_end(ap);
 	fputc('\n', stderr);
-	s->t.failed++;
+	s->counts.failed++;
 }
 
 /* Referenced by client.c; the soak addresses its entries itself. */
-const char *any_entry(struct scenario *s)
+const char *any_entry_addr(struct scenario *s)
 {
 	(void)s;
 	return NULL;
@@ -54,7 +54,7 @@
 static char *write_settings(
 	const struct soak *soak, const char *name, const char *store_addr, char *extra_fields)
 {
-	g_autofree char *internal_addr = free_addr();
+	g_autofree char *internal_addr = unused_addr();
 	int port = port_of(internal_addr);
 	g_autofree char *text =
 		g_strdup_printf("{\"node_name\":\"%s\",\"ip\":\"127.0.0.1\",\"zone\":\"z1\","
@@ -77,7 +77,7 @@
 
 	argv[0] = g_strdup_printf("%s/damaskpathd", soak->scenario.bin);
 	argv[1] = g_strdup(role);
-	node->proc = proc_start_node(&soak->scenario, name, argv, settings_path);
+	node->proc = proc_start_with_node_file(&soak->scenario, name, argv, settings_path);
 }
 
 /* Starts an entry that reaches the store through a relay. */
@@ -89,8 +89,8 @@
 
 	node->is_entry = true;
 	node->store_relay = relay_new(soak->platform_addr, &store_addr);
-	node->call_addr = free_addr();
-	node->ready_addr = free_addr();
+	node->call_addr = unused_addr();
+	node->ready_addr = unused_addr();
 	path = write_settings(soak, name, store_addr,
 		g_strdup_printf(
 			"\"listen_addresses\":{\"frontend_addr\":\"%s\",\"ready\":\"%s\"}",
@@ -122,13 +122,13 @@
 	char *worker_addr[SOAK_WORKERS];
 	char *control_addr[SOAK_WORKERS];
 
-	soak->platform_addr = free_addr();
+	soak->platform_addr = unused_addr();
 	argv[0] = g_strdup_printf("%s/standin-platform", soak->scenario.bin);
 	argv[1] = g_strdup(soak->platform_addr);
 	argv[2] = g_strdup("regress/platform/config.json");
 	for (int i = 0; i < SOAK_WORKERS; i++) {
-		worker_addr[i] = free_addr();
-		control_addr[i] = free_addr();
+		worker_addr[i] = unused_addr();
+		control_addr[i] = unused_addr();
 		argv[3 + i] =
 			g_strdup_printf("w%d=%s,%s", i + 1, worker_addr[i], control_addr[i]);
 	}
@@ -199,7 +199,7 @@
 	injector = fault_injector_new(&soak);
 	while (now_ns() < soak.end_at) {
 		fault_injector_step(injector);
-		proc_watch(&soak.scenario);
+		proc_check_crashes(&soak.scenario);
 		usleep(FAULT_POLL_US);
 	}
 	fault_injector_stop(injector);
@@ -208,8 +208,8 @@
 	printf("soak seed=%u ", seed);
 	violations = check_invariants(&soak, stdout);
 	stop_all(&soak);
-	printf(" stop_failed=%u\n", soak.scenario.t.failed);
-	violations += soak.scenario.t.failed;
+	printf(" stop_failed=%u\n", soak.scenario.counts.failed);
+	violations += soak.scenario.counts.failed;
 	if (violations > 0)
 		printf("soak seed=%u failed; files in %s\n", seed, soak.scenario.dir);
 	return violations > 0 ? 1 : 0;
--- a/tests/soak/soak-check.c
+++ b/tests/soak/soak-check.c
@@ -85,9 +85,9 @@
 		"jobs=%u accepted=%u faults=%u lost=%u forgotten=%u refused_ran=%u wrong=%zu "
 		"ended_by_itself=%u",
 		soak->jobs->len, accepted, soak->faults, lost, soak->forgotten, refused_ran,
-		json_array_size(violations), soak->scenario.t.failed);
+		json_array_size(violations), soak->scenario.counts.failed);
 	total = lost + refused_ran + soak->forgotten +
-		(unsigned int)json_array_size(violations) + soak->scenario.t.failed;
+		(unsigned int)json_array_size(violations) + soak->scenario.counts.failed;
 	json_decref(reply);
 	return total;
 }
--- a/tests/unit/test-sched.c
+++ b/tests/unit/test-sched.c
@@ -21,7 +21,7 @@
 	struct sched *s = sched_new(SCHED_POLICY_FULL, 1);
 
 	d->number = 1;
-	sched_set_doc(s, SEC, d, "c");
+	sched_set_config(s, SEC, d, "c");
 	doc_free(d);
 	for (int i = 0; i < 2; i++) {
 		struct sched_worker_spec w = {i == 0 ? "w0" : "w1", "r", {8, 8, 32, 65536}};
--- a/tests/unit/test-workload.c
+++ b/tests/unit/test-workload.c
@@ -629,8 +629,8 @@
 	CU_ASSERT_STRING_EQUAL(wl_config_route(c, "H.x:80", "/p/1")->name, "a");
 	CU_ASSERT_STRING_EQUAL(wl_config_route(c, "h.x", "/p/q/1")->name, "b");
 	CU_ASSERT_PTR_NULL(wl_config_route(c, "h.y", "/p/1"));
-	CU_ASSERT_EQUAL(wl_config_key(c, "k")->guaranteed, 16);
-	CU_ASSERT_PTR_NULL(wl_config_key(c, "z"));
+	CU_ASSERT_EQUAL(wl_config_org_by_key(c, "k")->guaranteed, 16);
+	CU_ASSERT_PTR_NULL(wl_config_org_by_key(c, "z"));
 	wl_config_free(c);
 	CU_ASSERT_PTR_NULL(pf_config_parse(&malformed, 1, &err));
 	CU_ASSERT_PTR_NOT_NULL(err);
