--- a/packages/state/store-embedded.c
+++ b/packages/state/store-embedded.c
@@ -230,7 +230,7 @@
 
 	for (size_t i = 0; i < txn->ops_len; i++) {
 		if (txn->ops[i].len > STORE_VALUE_MAX) {
-			error_set(err, ERR_TOO_LARGE, "value exceeds the store's size limit");
+			error_set(err, ERR_TOO_LARGE, "a value is over the store's limit");
 			return false;
 		}
 	}
@@ -353,7 +353,7 @@
 		expire_leases(e);
 		if (from <= e->compacted_revision) {
 			pthread_mutex_unlock(&e->lock);
-			error_set(err, ERR_NOT_FOUND, "revision has been compacted");
+			error_set(err, ERR_NOT_FOUND, "the revision has been compacted");
 			return false;
 		}
 		len = next_events(e, prefix, &from, &events);
--- a/packages/state/store-etcd.c
+++ b/packages/state/store-etcd.c
@@ -50,11 +50,11 @@
 			c->error->message);
 	else if (c->status != 200)
 		error_set(err, c->status == 503 ? ERR_STORE_DOWN : ERR_STORE_UNSURE,
-			"store: unexpected HTTP status %d", c->status);
+			"store: status %d", c->status);
 	else
 		response = json_loadb(c->answer.data, c->answer.len, 0, NULL);
 	if (response == NULL)
-		error_set(err, ERR_STORE_UNSURE, "store: response is not valid JSON");
+		error_set(err, ERR_STORE_UNSURE, "store: the answer is not JSON");
 	http_call_free(c);
 	return response;
 }
@@ -107,7 +107,7 @@
 	json_decref(response);
 	if (!ok) {
 		store_range_clear(out);
-		error_set(err, ERR_STORE_UNSURE, "store: malformed key-value pair in response");
+		error_set(err, ERR_STORE_UNSURE, "store: a malformed key");
 	}
 	return ok;
 }
@@ -277,6 +277,6 @@
 	if (!w.compacted)
 		return ok;
 	g_clear_error(err);
-	error_set(err, ERR_NOT_FOUND, "revision has been compacted");
+	error_set(err, ERR_NOT_FOUND, "the revision has been compacted");
 	return false;
 }
