--- a/packages/daemon/daemon.h
+++ b/packages/daemon/daemon.h
@@ -16,7 +16,7 @@
 	struct store *store;
 	struct work_pool *pool;
 	const char *zone;
-	int64_t stop_limit;
+	int64_t stop_limit_ns;
 };
 bool process_init(struct process *p, struct options *o, GError **err);
 void process_stop_pool(struct process *p);
@@ -42,7 +42,10 @@
 void entry_free(struct entry *e);
 const char *entry_http_addr(const struct entry *e);
 
-/* wl-process.c: the roles that run on the users' platform and serve jobs made of steps. */
+/*
+ * wl-process.c: the roles workload-entry and workload-agent. They serve jobs made of steps,
+ * which run on the users' platform: an external system with its own metadata store and workers.
+ */
 enum wl_role {
 	WL_ROLE_ENTRY,
 	WL_ROLE_AGENT
--- a/packages/daemon/main.c
+++ b/packages/daemon/main.c
@@ -10,10 +10,14 @@
 #define EXIT_USAGE	    2
 #define STOP_POLL_PERIOD_NS (50 * NSEC_PER_MSEC)
 
+/*
+ * The first two are bits and standalone is both of them. The workload roles are plain numbers:
+ * they must not be tested for these bits.
+ */
 enum daemon_role {
 	DAEMON_ROLE_ENTRY = 1,
 	DAEMON_ROLE_AGENT = 2,
-	DAEMON_ROLE_STANDALONE = 3,
+	DAEMON_ROLE_STANDALONE = DAEMON_ROLE_ENTRY | DAEMON_ROLE_AGENT,
 	DAEMON_ROLE_WORKLOAD_ENTRY = 4,
 	DAEMON_ROLE_WORKLOAD_AGENT = 5
 };
@@ -29,7 +33,7 @@
 	{"workload-entry", DAEMON_ROLE_WORKLOAD_ENTRY,
 		"serve callers of jobs of steps on the users' platform"},
 	{"workload-agent", DAEMON_ROLE_WORKLOAD_AGENT,
-		"run next to a worker of that platform; coordinate while holding the term"},
+		"run next to a worker of the users' platform; coordinate while elected"},
 	{"standalone", DAEMON_ROLE_STANDALONE,
 		"run an entry and an agent in one process with an in-memory store"},
 };
@@ -72,8 +76,12 @@
 	if (!idle && loop_now(p->process.loop) < p->stop_limit_at)
 		return;
 	if (!idle) {
-		g_autofree char *why = p->agent != NULL ? agent_describe_pending(p->agent)
-							: g_strdup("callers");
+		/* Describes only the agent's work if there is one, even if just the entry is
+		 * busy.
+		 */
+		g_autofree char *why = p->agent != NULL
+					       ? agent_describe_pending(p->agent)
+					       : g_strdup("Callers are waiting for responses.");
 
 		log_warning("main", "The stop limit was reached with work in flight. %s", why);
 		p->exit_code = 1;
@@ -92,7 +100,7 @@
 		return;
 	log_info("main", "Stopping: accepting no new work, finishing work in flight.");
 	p->stopping = true;
-	p->stop_limit_at = loop_now(p->process.loop) + p->process.stop_limit;
+	p->stop_limit_at = loop_now(p->process.loop) + p->process.stop_limit_ns;
 	if (p->entry != NULL)
 		entry_stop(p->entry);
 	if (p->agent != NULL)
@@ -116,11 +124,11 @@
 		struct doc_section *section = sections->pdata[i];
 		struct config_edit edit = {.section = section->name,
 			.text = section->text,
-			.who = "start",
+			.who = "start", /* recorded as the author in the history of edits */
 			.wall_ns = clock_wall(&clock_system)};
-		uint64_t number;
+		uint64_t edit_number;
 
-		ok = config_put(s, &edit, &number, &problems, NULL, err);
+		ok = config_put(s, &edit, &edit_number, &problems, NULL, err);
 	}
 	if (!STAILQ_EMPTY(&problems)) {
 		const struct doc_problem *p = STAILQ_FIRST(&problems);
@@ -148,8 +156,11 @@
 	       load_config_file(p->process.store, options_string(o, "config"), err);
 }
 
-/* Runs entry, agent or standalone until it is stopped; returns the exit code. */
-static int run_own_role(enum daemon_role role, struct options *o)
+/*
+ * Runs a role that serves cells (entry, agent or standalone) until stopped. Returns the exit
+ * code.
+ */
+static int run_cell_role(enum daemon_role role, struct options *o)
 {
 	struct program p = {.signal_fd = process_open_signalfd(false)};
 	g_autoptr(GError) err = NULL;
@@ -186,7 +197,7 @@
 		return wl_process_run(WL_ROLE_ENTRY, o);
 	if (role == DAEMON_ROLE_WORKLOAD_AGENT)
 		return wl_process_run(WL_ROLE_AGENT, o);
-	return run_own_role(role, o);
+	return run_cell_role(role, o);
 }
 
 /* Removes a flag that is not a setting from the arguments; true if it was there. */
--- a/packages/daemon/process.c
+++ b/packages/daemon/process.c
@@ -25,7 +25,7 @@
 	if (p->keys == NULL)
 		return false;
 	p->zone = options_string(o, "zone");
-	p->stop_limit = options_number(o, "stop-limit");
+	p->stop_limit_ns = options_number(o, "stop-limit");
 	p->loop = loop_new(&clock_system);
 	p->pool = work_pool_new(p->loop, POOL_THREADS);
 	return true;
