--- a/packages/daemon/settings.c
+++ b/packages/daemon/settings.c
@@ -3,15 +3,20 @@
 #define MS NSEC_PER_MSEC
 #define S  NSEC_PER_SEC
 
-/* All settings; each can also be set by an environment variable DAMASKPATH_NAME. */
+/*
+ * All settings. Each can also be set by an environment variable: DAMASKPATH_ followed by the
+ * setting in upper case, with "_" for "-". The numbers are the minimum and maximum, see struct
+ * option_entry; for a string, a minimum of 1 means that it must not be empty.
+ */
 const struct option_entry settings_table[] = {
 	{"log-level", OPTION_STRING, "info", 1, 0, NULL,
 		"Minimum severity of logged messages: error, warning, info or debug"},
 	{"name", OPTION_STRING, "", 0, 0, "entry,agent",
-		"Name of this process, stable across restarts. Empty: its peer address"},
+		"Name of this process, stable across restarts. Empty: its peer address, for an "
+		"entry its HTTP address"},
 	{"zone", OPTION_STRING, "zone-1", 1, 0, NULL, "Availability zone of this process"},
 	{"cell", OPTION_STRING, "cell-1", 1, 0, "agent,standalone",
-		"Cell that the worker belongs to"},
+		"Cell that this agent and its upstream's worker belong to"},
 	{"http", OPTION_STRING, "127.0.0.1:8080", 1, 0, "entry,standalone",
 		"Listen address for callers and operators"},
 	{"agent-http", OPTION_STRING, "127.0.0.1:8090", 1, 0, "agent,standalone",
@@ -40,9 +45,11 @@
 	{"body-max", OPTION_NUMBER, "1500000", 1024, 8000000, "entry,standalone",
 		"Maximum request body in bytes"},
 	{"open-max", OPTION_NUMBER, "10000", 1, 1000000, "entry,standalone",
-		"Maximum number of requests that wait for a response"},
+		"Maximum number of submissions that wait for a response"},
 	{"answer-timeout", OPTION_DURATION, "10m", 1 * S, 86400 * S, "entry,standalone",
-		"A caller that waits longer is told to poll for the result"},
+		"Maximum wait for a result; after it, 202 if the job was accepted, otherwise "
+		"an "
+		"error"},
 	{"coordinator-timeout", OPTION_DURATION, "15s", 100 * MS, 600 * S, "entry,standalone",
 		"Maximum wait for a coordinator before a new job is rejected"},
 	{"stop-limit", OPTION_DURATION, "60s", 0, 86400 * S, NULL,
