--- a/packages/daemon/main.c
+++ b/packages/daemon/main.c
@@ -76,9 +76,7 @@
 	if (!idle && loop_now(p->process.loop) < p->stop_limit_at)
 		return;
 	if (!idle) {
-		/* Describes only the agent's work if there is one, even if just the entry is
-		 * busy.
-		 */
+		/* With an agent, what the entry still has in flight is not described. */
 		g_autofree char *why = p->agent != NULL
 					       ? agent_describe_pending(p->agent)
 					       : g_strdup("Callers are waiting for responses.");
