--- a/packages/daemon/settings.c
+++ b/packages/daemon/settings.c
@@ -47,9 +47,8 @@
 	{"open-max", OPTION_NUMBER, "10000", 1, 1000000, "entry,standalone",
 		"Maximum number of submissions that wait for a response"},
 	{"answer-timeout", OPTION_DURATION, "10m", 1 * S, 86400 * S, "entry,standalone",
-		"Maximum wait for a result; after it, 202 if the job was accepted, otherwise "
-		"an "
-		"error"},
+		"Maximum wait for a result; then the response is 202 if the job was accepted, "
+		"otherwise an error"},
 	{"coordinator-timeout", OPTION_DURATION, "15s", 100 * MS, 600 * S, "entry,standalone",
 		"Maximum wait for a coordinator before a new job is rejected"},
 	{"stop-limit", OPTION_DURATION, "60s", 0, 86400 * S, NULL,
