--- a/packages/daemon/agent-private.h
+++ b/packages/daemon/agent-private.h
@@ -23,10 +23,14 @@
 	int64_t next_retry_at;
 	int64_t last_received_at;
 	uint32_t failures;
+	/* Edit number of the coordinator's configuration; not a revision of the store. */
 	uint64_t config_revision;
 };
 
-/* The coordinator that this process hosts, if any, and its pending store calls. */
+/*
+ * The coordinator that this process hosts, if any, and its pending store calls. "Host" never
+ * means a machine here. Times are in nanoseconds on the loop's clock.
+ */
 struct host {
 	struct coord *coord;
 	struct cell_term term;
@@ -36,10 +40,10 @@
 	int64_t config_checked_at;
 	bool renewing;
 	bool writing;
-	bool saving_roster;
+	bool saving_roster; /* names and incarnations of the agents, see coord_roster */
 	bool loading_config;
 	bool store_up;
-	int64_t write_retry_at;
+	int64_t write_retry_at; /* neither records nor the roster are written before */
 };
 
 struct agent {
@@ -56,7 +60,7 @@
 	uint64_t incarnation;
 	int64_t lease_ns;
 	bool stopping;
-	int64_t handover_at;
+	int64_t handover_not_before; /* in nanoseconds on the loop's clock */
 	/* Read by the HTTP thread, so only accessed atomically. */
 	bool ready;
 	struct link link;
--- a/packages/daemon/agent.c
+++ b/packages/daemon/agent.c
@@ -173,7 +173,7 @@
  */
 static void check_handover(struct agent *a, int64_t now)
 {
-	if (a->host.coord == NULL || now < a->handover_at)
+	if (a->host.coord == NULL || now < a->handover_not_before)
 		return;
 	/* Jobs that an agent rejected are queued again; their return takes until the next tick.
 	 */
@@ -255,7 +255,7 @@
 	int64_t now = loop_now(a->p->loop);
 
 	a->stopping = true;
-	a->handover_at = now + HANDOVER_DELAY_NS;
+	a->handover_not_before = now + HANDOVER_DELAY_NS;
 	agent_core_drain(a->core);
 	agent_core_report(a->core, now);
 	if (a->host.coord != NULL)
