--- a/packages/daemon/agent-host.c
+++ b/packages/daemon/agent-host.c
@@ -8,8 +8,12 @@
 #define CONFIG_POLL_PERIOD_NS (2 * NSEC_PER_SEC)
 #define WRITE_RETRY_DELAY_NS  (500 * NSEC_PER_MSEC)
 
-/* A store call that runs on the pool; its result is dropped if the term has changed. */
-struct store_task {
+/*
+ * A store call for the hosted coordinator, run on the pool. Its result is dropped if the term
+ * has changed when it arrives. cell_term is the term as the store functions take it, without
+ * its strings; term is its number.
+ */
+struct coord_store_call {
 	struct agent *agent;
 	uint64_t term;
 	struct cell_term cell_term;
@@ -23,33 +27,33 @@
 };
 
 /* Creates a store call for the current term. */
-static struct store_task *store_task_new(struct agent *a)
+static struct coord_store_call *coord_store_call_new(struct agent *a)
 {
-	struct store_task *w = xcalloc(1, sizeof(*w));
-
-	w->agent = a;
-	w->term = a->host.term.term;
-	w->cell_term = a->host.term;
-	w->cell_term.addr = NULL;
-	w->cell_term.name = NULL;
-	w->cell_term.roster = NULL;
-	return w;
+	struct coord_store_call *call = xcalloc(1, sizeof(*call));
+
+	call->agent = a;
+	call->term = a->host.term.term;
+	call->cell_term = a->host.term;
+	call->cell_term.addr = NULL;
+	call->cell_term.name = NULL;
+	call->cell_term.roster = NULL;
+	return call;
 }
 
-static void store_task_free(struct store_task *w)
+static void coord_store_call_free(struct coord_store_call *call)
 {
-	coord_batch_clear(&w->batch);
-	config_snapshot_clear(&w->config);
-	doc_free(w->doc);
-	g_free(w->roster);
-	g_clear_error(&w->err);
-	free(w);
+	coord_batch_clear(&call->batch);
+	config_snapshot_clear(&call->config);
+	doc_free(call->doc);
+	g_free(call->roster);
+	g_clear_error(&call->err);
+	free(call);
 }
 
 /* Whether this process still coordinates in the term that the call was made for. */
-static bool task_is_current(const struct store_task *w)
+static bool store_call_is_current(const struct coord_store_call *call)
 {
-	return w->agent->host.coord != NULL && w->agent->host.term.term == w->term;
+	return call->agent->host.coord != NULL && call->agent->host.term.term == call->term;
 }
 
 /* Records whether the store responds and logs a change. */
@@ -70,151 +74,156 @@
 /* Renews the lease. Runs on the pool. */
 static void lease_renew_run(void *arg)
 {
-	struct store_task *w = arg;
+	struct coord_store_call *call = arg;
 
-	w->ok = cell_term_renew(w->agent->p->store, w->agent->cell,
-		w->agent->lease_ns / NSEC_PER_SEC, &w->cell_term, &w->err);
+	call->ok = cell_term_renew(call->agent->p->store, call->agent->cell,
+		call->agent->lease_ns / NSEC_PER_SEC, &call->cell_term, &call->err);
 }
 
 /* A conflict means that the store responded: another agent took the term. */
 static void lease_renew_done(void *arg)
 {
-	struct store_task *w = arg;
-	struct agent *a = w->agent;
+	struct coord_store_call *call = arg;
+	struct agent *a = call->agent;
 
 	a->host.renewing = false;
-	if (task_is_current(w)) {
-		set_store_up(a, w->ok || error_kind_of(w->err) == ERR_CONFLICT, w->err);
-		if (w->ok) {
-			a->host.term.lease = w->cell_term.lease;
+	if (store_call_is_current(call)) {
+		set_store_up(
+			a, call->ok || error_kind_of(call->err) == ERR_CONFLICT, call->err);
+		if (call->ok) {
+			a->host.term.lease = call->cell_term.lease;
 			a->host.lease_renewed_at = loop_now(a->p->loop);
-		} else if (error_kind_of(w->err) == ERR_CONFLICT) {
+		} else if (error_kind_of(call->err) == ERR_CONFLICT) {
 			host_step_down(a, "another agent holds the lease");
 		}
 	}
-	store_task_free(w);
+	coord_store_call_free(call);
 }
 
 /* Writes job records if the term is still current. Runs on the pool. */
 static void records_write_run(void *arg)
 {
-	struct store_task *w = arg;
+	struct coord_store_call *call = arg;
 
-	w->ok = job_store_write(w->agent->p->store, w->agent->cell, &w->cell_term,
-		w->batch.writes, w->batch.len, &w->term_current, &w->err);
+	call->ok = job_store_write(call->agent->p->store, call->agent->cell, &call->cell_term,
+		call->batch.writes, call->batch.len, &call->term_current, &call->err);
 }
 
 static void records_write_done(void *arg)
 {
-	struct store_task *w = arg;
-	struct agent *a = w->agent;
+	struct coord_store_call *call = arg;
+	struct agent *a = call->agent;
 	int64_t now = loop_now(a->p->loop);
 
 	a->host.writing = false;
-	if (task_is_current(w)) {
-		set_store_up(a, w->ok, w->err);
-		coord_batch_done(a->host.coord, now, &w->batch, w->ok && w->term_current);
-		if (!w->ok)
+	if (store_call_is_current(call)) {
+		set_store_up(a, call->ok, call->err);
+		coord_batch_done(
+			a->host.coord, now, &call->batch, call->ok && call->term_current);
+		if (!call->ok)
 			a->host.write_retry_at = now + WRITE_RETRY_DELAY_NS;
-		else if (!w->term_current)
+		else if (!call->term_current)
 			host_step_down(a, "the store rejected a write of an outdated term");
 	}
-	store_task_free(w);
+	coord_store_call_free(call);
 }
 
 /* Saves the roster if the term is still current. Runs on the pool. */
 static void roster_save_run(void *arg)
 {
-	struct store_task *w = arg;
+	struct coord_store_call *call = arg;
 
-	w->ok = cell_term_save_roster(
-		w->agent->p->store, w->agent->cell, &w->cell_term, w->roster, &w->err);
+	call->ok = cell_term_save_roster(call->agent->p->store, call->agent->cell,
+		&call->cell_term, call->roster, &call->err);
 }
 
 static void roster_save_done(void *arg)
 {
-	struct store_task *w = arg;
-	struct agent *a = w->agent;
+	struct coord_store_call *call = arg;
+	struct agent *a = call->agent;
 
 	a->host.saving_roster = false;
-	if (task_is_current(w)) {
-		if (w->ok)
-			coord_roster_saved(a->host.coord, w->roster);
-		else if (error_kind_of(w->err) == ERR_CONFLICT)
+	if (store_call_is_current(call)) {
+		if (call->ok)
+			coord_roster_saved(a->host.coord, call->roster);
+		else if (error_kind_of(call->err) == ERR_CONFLICT)
 			host_step_down(a, "another agent holds the term");
 		else
 			a->host.write_retry_at = loop_now(a->p->loop) + WRITE_RETRY_DELAY_NS;
 	}
-	store_task_free(w);
+	coord_store_call_free(call);
 }
 
 /* Loads the configuration and parses it if its number changed. Runs on the pool. */
 static void config_load_run(void *arg)
 {
-	struct store_task *w = arg;
-	uint64_t before = w->config.number;
+	struct coord_store_call *call = arg;
+	uint64_t before = call->config.number;
 
-	w->ok = config_load(w->agent->p->store, &w->config, &w->err);
-	if (w->ok && (w->config.number != before || before == 0))
-		w->doc = config_parse(&w->config);
+	call->ok = config_load(call->agent->p->store, &call->config, &call->err);
+	if (call->ok && (call->config.number != before || before == 0))
+		call->doc = config_parse(&call->config);
 }
 
 static void config_load_done(void *arg)
 {
-	struct store_task *w = arg;
-	struct agent *a = w->agent;
+	struct coord_store_call *call = arg;
+	struct agent *a = call->agent;
 
 	a->host.loading_config = false;
-	if (task_is_current(w) && w->ok && w->doc != NULL) {
+	if (store_call_is_current(call) && call->ok && call->doc != NULL) {
 		config_snapshot_clear(&a->host.config);
-		a->host.config = w->config;
-		memset(&w->config, 0, sizeof(w->config));
-		coord_set_config(a->host.coord, loop_now(a->p->loop), w->doc);
+		a->host.config = call->config;
+		memset(&call->config, 0, sizeof(call->config));
+		coord_set_config(a->host.coord, loop_now(a->p->loop), call->doc);
 	}
-	if (!w->ok && error_kind_of(w->err) == ERR_CONFLICT)
-		log_error("coord", "The configuration was not adopted: %s.", w->err->message);
-	store_task_free(w);
+	/* Other failures are not logged; the next poll loads it again. */
+	if (!call->ok && error_kind_of(call->err) == ERR_CONFLICT)
+		log_error("coord", "The configuration was rejected: %s.", call->err->message);
+	coord_store_call_free(call);
 }
 
 /* Submits the store calls that are due, one of each kind at a time. */
-static void submit_due_tasks(struct agent *a, int64_t now)
+static void submit_due_store_calls(struct agent *a, int64_t now)
 {
 	struct host *h = &a->host;
-	struct store_task *w;
+	struct coord_store_call *call;
 
 	if (!h->renewing && now - h->lease_renewed_at > a->lease_ns / 3) {
 		h->renewing = true;
-		work_submit(a->p->pool, lease_renew_run, lease_renew_done, store_task_new(a));
+		work_submit(
+			a->p->pool, lease_renew_run, lease_renew_done, coord_store_call_new(a));
 	}
 	if (!h->loading_config && now - h->config_checked_at > CONFIG_POLL_PERIOD_NS) {
 		h->loading_config = true;
 		h->config_checked_at = now;
-		w = store_task_new(a);
-		config_snapshot_copy(&w->config, &h->config);
-		work_submit(a->p->pool, config_load_run, config_load_done, w);
+		call = coord_store_call_new(a);
+		config_snapshot_copy(&call->config, &h->config);
+		work_submit(a->p->pool, config_load_run, config_load_done, call);
 	}
 	if (now < h->write_retry_at)
 		return;
 	if (!h->saving_roster && coord_roster_changed(h->coord)) {
 		h->saving_roster = true;
-		w = store_task_new(a);
-		w->roster = coord_roster(h->coord);
-		work_submit(a->p->pool, roster_save_run, roster_save_done, w);
+		call = coord_store_call_new(a);
+		call->roster = coord_roster(h->coord);
+		work_submit(a->p->pool, roster_save_run, roster_save_done, call);
 	}
 	if (h->writing)
 		return;
-	w = store_task_new(a);
-	if (coord_take_batch(h->coord, &w->batch)) {
+	call = coord_store_call_new(a);
+	if (coord_take_batch(h->coord, &call->batch)) {
 		h->writing = true;
-		work_submit(a->p->pool, records_write_run, records_write_done, w);
+		work_submit(a->p->pool, records_write_run, records_write_done, call);
 	} else {
-		store_task_free(w);
+		coord_store_call_free(call);
 	}
 }
 
 /*
- * Drives the coordinator. Steps down if the process was paused for longer than its lease:
- * another agent may have taken the term meanwhile.
+ * Runs the coordinator's timers and starts the store calls that are due. Steps down if the
+ * process was paused for longer than its lease: another agent may have taken the term
+ * meanwhile.
  */
 void host_tick(void *arg)
 {
@@ -230,10 +239,13 @@
 		return;
 	}
 	coord_tick(a->host.coord, now, clock_wall(loop_clock(a->p->loop)));
-	submit_due_tasks(a, now);
+	submit_due_store_calls(a, now);
 }
 
-/* Starts the coordinator after this agent took the term; takes over the fields of term. */
+/*
+ * Starts the coordinator after this agent took the term. Takes ownership of the strings of
+ * *term and zeroes it.
+ */
 void host_start(struct agent *a, int64_t now, struct cell_term *term, GPtrArray *records)
 {
 	struct host *h = &a->host;
@@ -269,7 +281,7 @@
 	host_clear(a);
 }
 
-/* Releases the lease on a graceful stop, so that another agent need not await its end. */
+/* Releases the lease, so that another agent need not wait for the lease to expire. */
 void host_release(struct agent *a)
 {
 	if (a->host.coord == NULL)
