--- a/packages/daemon/agent-link.c
+++ b/packages/daemon/agent-link.c
@@ -5,9 +5,11 @@
 #include <string.h>
 
 /*
- * An agent without a coordinator reads the cell's term from the store, after a random delay so
- * that the agents of a cell do not all call the store at once. It connects to the holder, or
- * takes the term if nobody holds it. While connected, an agent makes no calls to the store.
+ * An agent that has no connection to the cell's coordinator reads the cell's term from the
+ * store, after a random delay so that the agents of a cell do not all call the store at once.
+ * It connects to the holder, or takes the term if nobody holds it. While connected, an agent
+ * makes no calls to the store, except for the one that hosts the coordinator: it connects to
+ * itself without a lookup, and agent-host.c calls the store.
  */
 
 #define RETRY_DELAY_MIN_NS  (300 * NSEC_PER_MSEC)
@@ -15,7 +17,10 @@
 #define SILENCE_TIMEOUT_NS  (4 * NSEC_PER_SEC)
 #define LOOKUP_DELAY_MAX_NS (400 * NSEC_PER_MSEC)
 
-/* A lookup of the cell's term in the store, which may take the term. */
+/*
+ * A lookup of the cell's term in the store. If nobody holds the term and may_take_term is set,
+ * it takes the term and loads the job records.
+ */
 struct term_lookup {
 	struct agent *agent;
 	bool may_take_term;
