--- a/packages/daemon/agent-upstream.c
+++ b/packages/daemon/agent-upstream.c
@@ -4,16 +4,19 @@
 #include <string.h>
 
 /*
- * HTTP between the agent and its upstream. The upstream registers with POST /v1/upstream and
- * deregisters with DELETE /v1/upstream. The agent starts a task with POST /tasks; the response
- * arrives when the task ends. Status 503 means that the task was not started, 409 that it was
- * stopped.
+ * HTTP between the agent and its upstream. The upstream announces itself with POST /v1/upstream
+ * and repeats this before the announcement lapses, after at most ANNOUNCE_TTL_MAX_NS. With
+ * DELETE /v1/upstream it says that it is leaving: running tasks continue, no new ones are
+ * accepted. The agent starts a task with POST /tasks; the response arrives when the task ends.
+ * Status 503 means that the task was not started, 409 that it was stopped.
  */
 
 #define ANNOUNCE_TTL_MAX_NS (3 * NSEC_PER_SEC)
-#define COMMAND_TIMEOUT_NS  (10 * NSEC_PER_SEC)
-#define HTTP_STATUS_STOPPED 409
-#define HTTP_STATUS_REFUSED 503
+/* Texts of an announcement, with the terminating NUL. */
+#define ANNOUNCE_TEXT_MAX_BYTES (JOB_NAME_MAX * 4)
+#define COMMAND_TIMEOUT_NS	(10 * NSEC_PER_SEC)
+#define HTTP_STATUS_STOPPED	409
+#define HTTP_STATUS_REFUSED	503
 
 /* Identifies the task that a pending HTTP call belongs to. */
 struct task_ref {
@@ -110,7 +113,10 @@
 	http_client_send(a->client, c);
 }
 
-/* Passes the checkpoint of a task to the agent core, or NULL if saving it failed. */
+/*
+ * Passes the checkpoint of a task, which is the body of the upstream's response, to the agent
+ * core; NULL if there was no response or its status is not 200.
+ */
 static void on_checkpointed(struct http_call *c, void *arg)
 {
 	struct task_ref *t = arg;
@@ -165,7 +171,7 @@
 	struct agent *agent;
 	bool leave;
 	struct agent_upstream upstream;
-	int64_t ttl;
+	int64_t ttl_ns;
 };
 
 /* Applies an announcement. Runs on the loop. */
@@ -178,7 +184,7 @@
 	if (n->leave) {
 		agent_core_upstream_leaving(a->core, now);
 	} else {
-		n->upstream.expires = now + n->ttl;
+		n->upstream.expires = now + n->ttl_ns;
 		agent_core_upstream_announced(a->core, now, &n->upstream);
 	}
 	free(n->upstream.addr);
@@ -196,12 +202,15 @@
 	return v > 0 && v <= INT32_MAX ? (uint32_t)v : 0;
 }
 
-/* Reads a string from a JSON object; the fallback if it is absent or too long. */
+/*
+ * Reads a string from a JSON object; the fallback if it is absent or too long. So an address or
+ * a worker that is too long becomes empty.
+ */
 static char *json_text(const json_t *o, const char *name, const char *fallback)
 {
 	const char *v = json_string_value(json_object_get(o, name));
 
-	return xstrdup(v != NULL && strlen(v) < JOB_NAME_MAX * 4 ? v : fallback);
+	return xstrdup(v != NULL && strlen(v) < ANNOUNCE_TEXT_MAX_BYTES ? v : fallback);
 }
 
 /* POST /v1/upstream. */
@@ -210,7 +219,7 @@
 	const struct bytes *body = http_body(r);
 	json_t *o = json_loadb(body->data, body->len, 0, NULL);
 	struct announcement *n;
-	double ttl = json_number_value(json_object_get(o, "ttl_s"));
+	double ttl_s = json_number_value(json_object_get(o, "ttl_s"));
 
 	if (!json_is_string(json_object_get(o, "address")) ||
 		!json_is_string(json_object_get(o, "worker")) || json_count(o, "slots") == 0) {
@@ -221,8 +230,9 @@
 	}
 	n = xcalloc(1, sizeof(*n));
 	n->agent = a;
-	n->ttl = ttl > 0 ? MIN((int64_t)(ttl * (double)NSEC_PER_SEC), ANNOUNCE_TTL_MAX_NS)
-			 : ANNOUNCE_TTL_MAX_NS;
+	n->ttl_ns = ttl_s > 0
+			    ? MIN((int64_t)(ttl_s * (double)NSEC_PER_SEC), ANNOUNCE_TTL_MAX_NS)
+			    : ANNOUNCE_TTL_MAX_NS;
 	n->upstream.addr = json_text(o, "address", "");
 	n->upstream.worker = json_text(o, "worker", "");
 	n->upstream.rack = json_text(o, "rack", "rack-1");
@@ -230,11 +240,13 @@
 	n->upstream.accelerators =
 		MIN(json_count(o, "accelerators"), (uint32_t)JOB_ACCELERATORS_MAX);
 	n->upstream.slots = json_count(o, "slots");
+	/* The number of tasks is limited to the lower of slots and connections. */
 	n->upstream.connections = json_count(o, "connections");
 	if (n->upstream.connections == 0)
 		n->upstream.connections = n->upstream.slots;
 	n->upstream.cores = json_count(o, "cores");
 	n->upstream.memory_mb = json_count(o, "memory_mb");
+	/* As the upstream reports it; only shown to operators. */
 	n->upstream.usage_percent = json_count(o, "usage_percent");
 	json_decref(o);
 	loop_post(a->p->loop, apply_announcement, n);
