--- a/packages/daemon/agent.c
+++ b/packages/daemon/agent.c
@@ -16,7 +16,7 @@
 	return ok;
 }
 
-/* Agent core callback: sends to the coordinator. */
+/* Agent core callback: sends a message to the coordinator. */
 static void send_to_coord(void *arg, const struct msg *m)
 {
 	link_send(arg, m);
@@ -37,7 +37,10 @@
 	return peer;
 }
 
-/* Agent core callback: sends to another agent; "#N" is the open connection with id N. */
+/*
+ * Agent core callback: sends a message to another agent of a gang. addr is its peer address or,
+ * to reply on the connection that a heartbeat came from, "#" and the id of that connection.
+ */
 static void send_to_gang_agent(void *arg, const char *addr, const struct msg *m)
 {
 	struct agent *a = arg;
@@ -60,7 +63,7 @@
 	peer_close(((struct agent *)arg)->net, peer);
 }
 
-/* Returns the address of a connection that we dialled for a gang; NULL for any other. */
+/* Returns the address that a connection of a gang was dialled with; NULL for any other. */
 static const char *gang_peer_addr(struct agent *a, peer_id peer)
 {
 	GHashTableIter it;
@@ -84,20 +87,27 @@
 		link_peer_opened(a);
 }
 
-/* Passes a hello to the hosted coordinator; without one, replies with term 0. */
+/*
+ * Passes a hello to the hosted coordinator. Without one, replies with a welcome of term 0,
+ * which means that this peer is not a coordinator.
+ */
 static void handle_hello(struct agent *a, peer_id peer, const struct msg_hello *h)
 {
-	struct msg no = {.kind = MSG_WELCOME, .welcome = {.cell = a->cell}};
+	struct msg not_coordinator = {.kind = MSG_WELCOME, .welcome = {.cell = a->cell}};
 
 	if (a->host.coord != NULL) {
 		g_hash_table_add(a->coord_peers, g_memdup2(&peer, sizeof(peer)));
 		coord_hello(a->host.coord, loop_now(a->p->loop), peer, h);
 		return;
 	}
-	agent_send_peer(a, peer, &no);
+	agent_send_peer(a, peer, &not_coordinator);
 }
 
-/* A gang heartbeat: a reply on connections that we dialled, a request on any other. */
+/*
+ * Handles a heartbeat between the agents of a gang. On a connection that this agent dialled it
+ * is the reply to a heartbeat that this agent sent. On any other it is the heartbeat of another
+ * member, to be answered on that connection.
+ */
 static void handle_gang_beat(struct agent *a, peer_id peer, const struct msg_gang_beat *b)
 {
 	g_autofree char *reply = NULL;
@@ -112,7 +122,10 @@
 	agent_core_gang_beat(a->core, loop_now(a->p->loop), b, reply);
 }
 
-/* Returns the term that a message to the coordinator carries; 0 if it carries none. */
+/*
+ * Returns the term of a reservation's reply, a heartbeat or a hello, and 0 for all other
+ * messages to the coordinator, even if they carry a term.
+ */
 static uint64_t message_term(const struct msg *m)
 {
 	switch (m->kind) {
@@ -167,15 +180,18 @@
 }
 
 /*
- * Hands the term over during a graceful stop, once all queued jobs have been returned to the
- * entries. If no other agent accepts work, waits until every running job has ended and its
- * result has been reported and stored.
+ * Hands the term over during a graceful stop, once the queued jobs have been returned to the
+ * entries, except for durable jobs and jobs that ran before, which stay queued. If no other
+ * agent accepts work, waits until every running job has ended and its result has been reported
+ * and stored.
  */
 static void check_handover(struct agent *a, int64_t now)
 {
 	if (a->host.coord == NULL || now < a->handover_not_before)
 		return;
-	/* Jobs that an agent rejected are queued again; their return takes until the next tick.
+	/*
+	 * Jobs that an agent rejected were queued again. If any are returned now, waits a tick
+	 * so that the answers to the entries are sent before the connections close.
 	 */
 	if (coord_hand_over_queued(a->host.coord) > 0)
 		return;
@@ -187,7 +203,7 @@
 	host_step_down(a, "this process is stopping");
 }
 
-/* Drives the timers of the agent core and of the connection to the coordinator. */
+/* Runs the timers of the agent core and of the connection to the coordinator. */
 static void on_tick(void *arg)
 {
 	struct agent *a = arg;
@@ -226,6 +242,7 @@
 {
 	struct agent *a = xcalloc(1, sizeof(*a));
 	struct peer_events events = {on_opened, on_message, on_closed, a};
+	/* Callbacks to the connections and the upstream, not network ports. */
 	struct agent_ports ports = {
 		send_to_coord, send_to_gang_agent, upstream_start_task, upstream_stop_task, a};
 
@@ -257,14 +274,16 @@
 	a->stopping = true;
 	a->handover_not_before = now + HANDOVER_DELAY_NS;
 	agent_core_drain(a->core);
+	/* Tells the coordinator that this worker accepts no new work. */
 	agent_core_report(a->core, now);
 	if (a->host.coord != NULL)
 		coord_hand_over_queued(a->host.coord);
 }
 
 /*
- * Whether nothing runs and a coordinator has acknowledged every result: an unacknowledged
- * result would be lost when this process exits.
+ * Whether no coordinator is hosted, no member is left (reserved, running or stopping), and a
+ * coordinator has acknowledged every result: an unacknowledged result would be lost when this
+ * process exits.
  */
 bool agent_idle(const struct agent *a)
 {
@@ -272,6 +291,7 @@
 	       agent_core_unacked_ends(a->core) == 0;
 }
 
+/* "running" counts all members that have not ended, reserved and stopping ones included. */
 char *agent_describe_pending(const struct agent *a)
 {
 	return g_strdup_printf("coordinates=%d running=%zu unacknowledged=%zu",
@@ -309,6 +329,7 @@
 /* Creates a coordinator that communicates through this agent's connections. */
 struct coord *agent_create_coord(struct agent *a)
 {
+	/* Callbacks to the connections, not network ports. */
 	struct coord_ports ports = {coord_send_peer, coord_close_peer, a};
 
 	return coord_new(a->cell, &ports);
