--- a/packages/daemon/entry-auth.c
+++ b/packages/daemon/entry-auth.c
@@ -59,7 +59,7 @@
  * Returns whether the caller may edit a section: with an operator's token or, for the section
  * of a team, with the team's.
  */
-bool auth_team(const struct http_request *r, const struct doc *d, const char *section)
+bool auth_section_edit(const struct http_request *r, const struct doc *d, const char *section)
 {
 	const struct doc_team *t = g_str_has_prefix(section, TEAM_PREFIX)
 					   ? doc_find_team(d, section + strlen(TEAM_PREFIX))
--- a/packages/daemon/entry-config-http.c
+++ b/packages/daemon/entry-config-http.c
@@ -4,7 +4,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A request that is served from the store; runs on the pool. */
+/*
+ * The data of a store call, run on the pool, that is made for an HTTP request. base is the
+ * number of the section's version that was edited, 0 for a new section.
+ */
 struct store_request {
 	struct entry *entry;
 	struct http_request *request;
@@ -65,10 +68,10 @@
 	http_reply_problem(r, error_kind_of(err), err->message, text);
 }
 
-/* Calls config_refresh on the loop. */
-static void refresh_posted(void *arg)
+/* Callback of loop_post: calls config_reload on the loop. */
+static void config_reload_cb(void *arg)
 {
-	config_refresh(arg);
+	config_reload(arg);
 }
 
 /* Writes an edit to the store. Runs on the pool. */
@@ -89,7 +92,7 @@
 	if (config_put(e->p->store, &edit, &number, &problems, &current, &err)) {
 		log_info("entry", "Section %s was changed by %s in edit %" PRIu64 ".",
 			w->section, w->who, number);
-		loop_post(e->p->loop, refresh_posted, e);
+		loop_post(e->p->loop, config_reload_cb, e);
 		reply_json(w->request, json_pack("{s:s,s:I}", "section", w->section, "number",
 					       (json_int_t)number));
 	} else {
@@ -155,7 +158,7 @@
 			      (int)v->entries_count));
 }
 
-/* PUT /v1/config/SECTION?base=N&who=NAME. */
+/* PUT /v1/config/SECTION?base=N&who=NAME. N is the number of the version that was edited. */
 static void put_section(struct entry *e, struct http_request *r, const struct entry_view *v,
 	const char *section)
 {
@@ -163,7 +166,7 @@
 	const char *who = http_query(r, "who");
 	struct store_request *w;
 
-	if (!auth_team(r, v->doc, section)) {
+	if (!auth_section_edit(r, v->doc, section)) {
 		http_reply_problem(r, ERR_UNAUTHORISED,
 			"a token of the section's team or an operator's is needed", NULL);
 		return;
--- a/packages/daemon/entry-config.c
+++ b/packages/daemon/entry-config.c
@@ -10,23 +10,23 @@
  * never replaces a newer one.
  */
 
-#define LIVE_PREFIX	   STORE_PREFIX "live/"
-#define CELLS_PREFIX	   LIVE_PREFIX "cells/"
-#define ENTRY_PREFIX	   LIVE_PREFIX "entries/"
-#define POLL_PERIOD	   (4 * NSEC_PER_SEC)
-#define WATCH_RETRY_DELAY  (500 * NSEC_PER_MSEC)
-#define LEASE_TTL_S	   10
-#define LEASE_RENEW_PERIOD (3 * NSEC_PER_SEC)
+#define LIVE_PREFIX	      STORE_PREFIX "live/"
+#define CELLS_PREFIX	      LIVE_PREFIX "cells/"
+#define ENTRY_PREFIX	      LIVE_PREFIX "entries/"
+#define POLL_PERIOD_NS	      (4 * NSEC_PER_SEC)
+#define WATCH_RETRY_DELAY_NS  (500 * NSEC_PER_MSEC)
+#define LEASE_TTL_S	      10
+#define LEASE_RENEW_PERIOD_NS (3 * NSEC_PER_SEC)
 
 GAUGE(config_number, "damaskpath_config_number", "Configuration in force in this process.");
 GAUGE(config_age, "damaskpath_config_checked_age_ms",
 	"Time since the configuration was last compared with the store, in milliseconds.");
 GAUGE(store_gauge, "damaskpath_store_up", "1 if the store answered the last call.");
-COUNTER(config_outdated, "damaskpath_config_backwards_total",
+COUNTER(config_rejected, "damaskpath_config_backwards_total",
 	"Times that the store offered an older configuration, which was refused.");
 
-/* A load of the configuration and the live keys; runs on the pool. */
-struct config_read {
+/* A load of the configuration and the live keys from the store into a new view. */
+struct view_load {
 	struct entry *entry;
 	struct entry_view *view;
 	bool ok;
@@ -55,7 +55,7 @@
 }
 
 /* Adds a live key to a view: an entry's lease or a cell's term. Ignores other keys. */
-static void read_live_key(struct entry_view *v, const struct store_kv *kv)
+static void add_live_key(struct entry_view *v, const struct store_kv *kv)
 {
 	const char *cell;
 	const char *slash;
@@ -74,6 +74,7 @@
 		return;
 	o = json_loadb(kv->value.data, kv->value.len, 0, NULL);
 	t = xcalloc(1, sizeof(*t));
+	/* In a view, the name of the cell; elsewhere, that of the agent that holds the term. */
 	t->name = bytes_copy(cell, (size_t)(slash - cell)).data;
 	t->addr = xstrdup(json_string_value(json_object_get(o, "addr")));
 	t->term = (uint64_t)json_integer_value(json_object_get(o, "term"));
@@ -81,10 +82,10 @@
 	g_ptr_array_add(v->cells, t);
 }
 
-/* Reads the configuration and the live keys. Runs on the pool. */
-static void read_run(void *arg)
+/* Loads the configuration and the live keys. Runs on the pool. */
+static void view_load_run(void *arg)
 {
-	struct config_read *r = arg;
+	struct view_load *r = arg;
 	struct store *s = r->entry->p->store;
 	struct store_range range;
 
@@ -93,7 +94,7 @@
 	if (!r->ok)
 		return;
 	for (size_t i = 0; i < range.len; i++)
-		read_live_key(r->view, &range.kvs[i]);
+		add_live_key(r->view, &range.kvs[i]);
 	store_range_clear(&range);
 	r->view->doc = config_parse(&r->view->config);
 }
@@ -114,18 +115,19 @@
 	counter_set(&store_gauge, up);
 }
 
-/* Publishes the view that was read. Runs on the loop. */
-static void read_done(void *arg)
+/* Publishes the view that was loaded. Runs on the loop. */
+static void view_load_done(void *arg)
 {
-	struct config_read *r = arg;
+	struct view_load *r = arg;
 	struct entry *e = r->entry;
 	const struct entry_view *old = e->view;
 	bool conflict = !r->ok && error_kind_of(r->err) == ERR_CONFLICT;
 
 	e->config_loading = false;
 	set_store_up(e, r->ok || conflict, r->err);
+	/* An older configuration, or one that changes too fast to be read. */
 	if (conflict) {
-		counter_add(&config_outdated, 1);
+		counter_add(&config_rejected, 1);
 		log_error("entry", "The configuration was rejected: %s.", r->err->message);
 	}
 	if (r->ok && r->view->doc != NULL) {
@@ -137,7 +139,7 @@
 		counter_set(&config_number, r->view->config.number);
 		__atomic_store_n(&e->config_loaded_at, loop_now(e->p->loop), __ATOMIC_RELAXED);
 		rcu_publish(&e->view, r->view, view_free);
-		links_update(e, r->view);
+		cell_links_update(e, r->view);
 		r->view = NULL;
 	}
 	view_free(r->view);
@@ -145,15 +147,17 @@
 	free(r);
 	if (e->config_reload_pending) {
 		e->config_reload_pending = false;
-		config_refresh(e);
+		config_reload(e);
 	}
 }
 
-/* Reads the configuration and the live keys again. A read in progress is followed by another.
+/*
+ * Loads the configuration and the live keys again. If a load is in progress, another one
+ * follows it.
  */
-void config_refresh(struct entry *e)
+void config_reload(struct entry *e)
 {
-	struct config_read *r;
+	struct view_load *r;
 
 	if (e->config_loading) {
 		e->config_reload_pending = true;
@@ -166,13 +170,13 @@
 	r->view->cells = g_ptr_array_new_with_free_func(cell_free);
 	if (e->view != NULL)
 		config_snapshot_copy(&r->view->config, &((struct entry_view *)e->view)->config);
-	work_submit(e->p->pool, read_run, read_done, r);
+	work_submit(e->p->pool, view_load_run, view_load_done, r);
 }
 
-/* Calls config_refresh on the loop. */
-static void refresh_posted(void *arg)
+/* Callback of loop_post: calls config_reload on the loop. */
+static void config_reload_cb(void *arg)
 {
-	config_refresh(arg);
+	config_reload(arg);
 }
 
 /* Handles events of the watch; also called without any. Returns whether to continue. */
@@ -183,7 +187,7 @@
 	(void)events;
 	(void)revision;
 	if (len > 0)
-		loop_post(e->p->loop, refresh_posted, e);
+		loop_post(e->p->loop, config_reload_cb, e);
 	return !__atomic_load_n(&e->watch_stop, __ATOMIC_ACQUIRE);
 }
 
@@ -194,19 +198,21 @@
 static void *watch_thread(void *arg)
 {
 	struct entry *e = arg;
-	struct timespec retry_delay = {.tv_nsec = WATCH_RETRY_DELAY};
+	struct timespec retry_delay = {.tv_nsec = WATCH_RETRY_DELAY_NS};
 
 	while (!__atomic_load_n(&e->watch_stop, __ATOMIC_ACQUIRE)) {
 		struct store_range r;
 		int64_t from;
 
+		/* The key of the list of sections, read only for the store's current revision.
+		 */
 		if (!store_get_range(e->p->store, LIVE_PREFIX "head", true, &r, NULL)) {
 			nanosleep(&retry_delay, NULL);
 			continue;
 		}
 		from = r.revision + 1;
 		store_range_clear(&r);
-		loop_post(e->p->loop, refresh_posted, e);
+		loop_post(e->p->loop, config_reload_cb, e);
 		if (!store_watch(e->p->store, LIVE_PREFIX, from, on_watch, e, NULL))
 			nanosleep(&retry_delay, NULL);
 	}
@@ -247,7 +253,7 @@
 void config_start(struct entry *e)
 {
 	e->config_loaded_at = loop_now(e->p->loop);
-	config_refresh(e);
+	config_reload(e);
 	e->watch_started = pthread_create(&e->watch_thread, NULL, watch_thread, e) == 0;
 }
 
@@ -265,12 +271,12 @@
 void config_tick(struct entry *e, int64_t now)
 {
 	counter_set(&config_age, (uint64_t)((now - e->config_loaded_at) / NSEC_PER_MSEC));
-	if (now - e->config_loaded_at > POLL_PERIOD && !e->config_loading)
-		config_refresh(e);
-	if (!e->lease_in_progress && now - e->lease_checked_at > LEASE_RENEW_PERIOD &&
+	if (now - e->config_loaded_at > POLL_PERIOD_NS && !e->config_loading)
+		config_reload(e);
+	if (!e->lease_in_progress && now - e->lease_renew_started_at > LEASE_RENEW_PERIOD_NS &&
 		!e->stopping) {
 		e->lease_in_progress = true;
-		e->lease_checked_at = now;
+		e->lease_renew_started_at = now;
 		work_submit(e->p->pool, lease_run, lease_done, e);
 	}
 }
--- a/packages/daemon/entry-http.c
+++ b/packages/daemon/entry-http.c
@@ -3,13 +3,13 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Calls query_open on the loop. */
-static void query_open_posted(void *arg)
+/* Callback of loop_post: calls query_open on the loop. */
+static void query_open_cb(void *arg)
 {
 	query_open(arg);
 }
 
-/* Posts a query to the loop; a NULL cell queries all cells. */
+/* Posts a query, or a drain command, to the loop; with a NULL cell it is sent to all cells. */
 static void post_query(struct entry *e, struct http_request *r, const char *cell,
 	const char *query_type, const char *arg, const char *org)
 {
@@ -18,12 +18,12 @@
 	q->entry = e;
 	q->request = r;
 	q->cell = xstrdup(cell);
-	q->gather = cell == NULL;
+	q->all_cells = cell == NULL;
 	q->msg.kind = MSG_QUERY;
 	q->msg.query.query_type = xstrdup(query_type);
 	q->msg.query.arg = xstrdup(arg);
 	q->msg.query.org = xstrdup(org);
-	loop_post(e->p->loop, query_open_posted, q);
+	loop_post(e->p->loop, query_open_cb, q);
 }
 
 /* Posts the cancellation of a job to the loop. */
@@ -38,15 +38,15 @@
 	q->msg.kind = MSG_CANCEL;
 	q->msg.cancel.job = xstrdup(job);
 	q->msg.cancel.org = xstrdup(org);
-	loop_post(e->p->loop, query_open_posted, q);
+	loop_post(e->p->loop, query_open_cb, q);
 }
 
 /*
- * Sets org to the organisation that a read is limited to, or to NULL for all. Only operators
- * may read all; others must name an organisation that their token covers. If access is denied,
- * answers the request and returns false.
+ * Sets org to the organisation that a read or a cancellation is limited to, or to NULL for all.
+ * Only operators may act for all; others must name an organisation that their token covers. If
+ * access is denied, answers the request and returns false.
  */
-static bool reader_org(struct http_request *r, const struct entry_view *v, const char **org)
+static bool caller_org(struct http_request *r, const struct entry_view *v, const char **org)
 {
 	const char *name = http_query(r, "organisation");
 	const struct doc_org *o = name != NULL ? doc_find_org(v->doc, name) : NULL;
@@ -69,7 +69,10 @@
 	return false;
 }
 
-/* Returns the cell part of a job id, "CELL~HEX", or NULL if the id is malformed. */
+/*
+ * Returns the cell part of a job id, "CELL~HEX", or NULL if the id is malformed. Ids may be
+ * longer than JOB_ID_MAX, up to twice that.
+ */
 static char *job_id_cell(const char *id)
 {
 	const char *separator = strrchr(id, '~');
@@ -94,7 +97,7 @@
 		http_reply_problem(r, ERR_NOT_FOUND, "there is no job with this id", NULL);
 		return;
 	}
-	if (!reader_org(r, v, &org))
+	if (!caller_org(r, v, &org))
 		return;
 	if (strcmp(http_method(r), "DELETE") == 0 && subpath == NULL)
 		post_cancel(e, r, cell, id, org);
@@ -108,7 +111,10 @@
 		http_reply_problem(r, ERR_NOT_FOUND, "no such path", NULL);
 }
 
-/* POST /v1/workers/NAME/drain?on=yes|no. */
+/*
+ * POST /v1/workers/NAME/drain?on=yes|no: starts or ends a drain of the worker in every cell
+ * that has it. The command is sent to all cells, as a query of type "drain".
+ */
 static void drain_request(struct entry *e, struct http_request *r, const struct entry_view *v)
 {
 	AUTOFREE char *name = xstrdup(http_path(r) + strlen("/v1/workers/"));
@@ -155,7 +161,7 @@
 		if (list_routes[i].operators_only && !auth_operator(r, v->doc))
 			http_reply_problem(
 				r, ERR_UNAUTHORISED, "an operator's token is needed", NULL);
-		else if (list_routes[i].operators_only || reader_org(r, v, &org))
+		else if (list_routes[i].operators_only || caller_org(r, v, &org))
 			post_query(e, r, NULL, list_routes[i].query_type, NULL, org);
 		return true;
 	}
--- a/packages/daemon/entry-job.c
+++ b/packages/daemon/entry-job.c
@@ -61,8 +61,11 @@
 	release_job(j);
 }
 
-/* Returns the members that an outcome adds to a problem document, with a leading comma. */
-static char *outcome_members(const char *job, const struct job_result *res)
+/*
+ * Returns the JSON members "outcome" and "job", which are added to a problem document, with a
+ * leading comma.
+ */
+static char *outcome_json_fields(const char *job, const struct job_result *res)
 {
 	char *text;
 
@@ -82,7 +85,7 @@
 			res->type, res->body.data, res->body.len);
 		return;
 	}
-	extra = outcome_members(job, res);
+	extra = outcome_json_fields(job, res);
 	http_reply_outcome(r, res->error, res->detail, res->not_run, res->retry_after_s, extra);
 }
 
@@ -102,6 +105,7 @@
 /*
  * Submits a job to the coordinator of its cell. A job sent before is marked, with the term it
  * was last sent to, so that a new coordinator knows that an earlier one may have seen it.
+ * "wait" asks the coordinator to send the result, also for a caller that does not wait for it.
  */
 static void send_job(struct open_job *j, struct cell_link *l)
 {
@@ -114,7 +118,7 @@
 		.wait = true};
 	if (j->deadline_at > 0)
 		m.submit.spec.deadline_ms = MAX((j->deadline_at - now) / NSEC_PER_MSEC, 1);
-	if (!link_send_msg(j->entry, l, &m))
+	if (!cell_link_send(j->entry, l, &m))
 		return;
 	if (j->sent)
 		counter_add(&jobs_resent, 1);
@@ -129,7 +133,7 @@
 void job_open(struct open_job *j)
 {
 	struct entry *e = j->entry;
-	struct cell_link *l = link_find(e, j->cell);
+	struct cell_link *l = cell_link_find(e, j->cell);
 
 	LIST_INSERT_HEAD(&e->open_jobs, j, link);
 	chain_add(j);
@@ -186,13 +190,13 @@
 static void check_timeout(struct open_job *j, int64_t now)
 {
 	struct entry *e = j->entry;
-	bool no_coordinator = !j->sent && now - j->waiting_since > e->coordinator_timeout;
+	bool no_coordinator = !j->sent && now - j->waiting_since > e->coordinator_timeout_ns;
 
 	if (no_coordinator) {
 		http_reply_problem(j->request, ERR_NO_COORDINATOR,
 			"the cell has no coordinator; the job was not handed over", NULL);
 		close_job(j);
-	} else if (now - j->waiting_since > e->answer_timeout && j->sent) {
+	} else if (now - j->waiting_since > e->answer_timeout_ns && j->sent) {
 		if (j->accepted)
 			reply_accepted(j->request, j->spec.id);
 		else
--- a/packages/daemon/entry-link.c
+++ b/packages/daemon/entry-link.c
@@ -4,11 +4,11 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define REDIAL_DELAY	(300 * NSEC_PER_MSEC)
-#define SILENCE_TIMEOUT (4 * NSEC_PER_SEC)
+#define REDIAL_DELAY_NS	   (300 * NSEC_PER_MSEC)
+#define SILENCE_TIMEOUT_NS (4 * NSEC_PER_SEC)
 
 /* Frees a link. */
-void link_free(void *link)
+void cell_link_free(void *link)
 {
 	struct cell_link *l = link;
 
@@ -19,13 +19,13 @@
 }
 
 /* Returns the link to a cell, or NULL. */
-struct cell_link *link_find(struct entry *e, const char *cell)
+struct cell_link *cell_link_find(struct entry *e, const char *cell)
 {
 	return cell != NULL ? g_hash_table_lookup(e->links, cell) : NULL;
 }
 
 /* Returns the link that uses a connection, or NULL. */
-static struct cell_link *link_by_peer(struct entry *e, peer_id peer)
+static struct cell_link *cell_link_by_peer(struct entry *e, peer_id peer)
 {
 	GHashTableIter it;
 	gpointer value;
@@ -41,7 +41,7 @@
 }
 
 /* Sends a message to the coordinator of a cell; false if it is not connected. */
-bool link_send_msg(struct entry *e, struct cell_link *l, const struct msg *m)
+bool cell_link_send(struct entry *e, struct cell_link *l, const struct msg *m)
 {
 	struct bytes b;
 	bool ok;
@@ -55,14 +55,15 @@
 }
 
 /*
- * Updates the coordinators' addresses from the view. A cell whose term is not newer than the
- * known one is ignored, as its coordinator may have been replaced.
+ * Updates the coordinators' addresses from the view and adds links to unknown cells. The
+ * address changes only with a newer term: the view may have been read before the term became
+ * known from a welcome.
  */
-void links_update(struct entry *e, const struct entry_view *v)
+void cell_links_update(struct entry *e, const struct entry_view *v)
 {
 	for (guint i = 0; i < v->cells->len; i++) {
 		const struct cell_term *t = v->cells->pdata[i];
-		struct cell_link *l = link_find(e, t->name);
+		struct cell_link *l = cell_link_find(e, t->name);
 
 		if (l == NULL) {
 			l = xcalloc(1, sizeof(*l));
@@ -83,7 +84,7 @@
 }
 
 /* Closes connections that have been silent too long and dials missing ones. */
-void links_tick(struct entry *e, int64_t now)
+void cell_links_tick(struct entry *e, int64_t now)
 {
 	GHashTableIter it;
 	gpointer value;
@@ -92,21 +93,21 @@
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
 		struct cell_link *l = value;
 
-		if (l->peer != PEER_NONE && now - l->last_received > SILENCE_TIMEOUT)
+		if (l->peer != PEER_NONE && now - l->last_received_at > SILENCE_TIMEOUT_NS)
 			peer_close(e->net, l->peer);
 		if (l->peer != PEER_NONE || l->addr == NULL || now < l->next_dial_at)
 			continue;
-		l->last_received = now;
+		l->last_received_at = now;
 		l->peer = peer_dial(e->net, l->addr, NULL);
-		l->next_dial_at = now + REDIAL_DELAY;
+		l->next_dial_at = now + REDIAL_DELAY_NS;
 	}
 }
 
 /* Sends the hello on a new connection. */
-void link_on_opened(void *arg, peer_id peer, bool dialled)
+void cell_link_on_opened(void *arg, peer_id peer, bool dialled)
 {
 	struct entry *e = arg;
-	struct cell_link *l = link_by_peer(e, peer);
+	struct cell_link *l = cell_link_by_peer(e, peer);
 	struct msg m = {.kind = MSG_HELLO,
 		.hello = {.role = ROLE_ENTRY, .name = e->name, .zone = (char *)e->p->zone}};
 
@@ -114,7 +115,7 @@
 	if (l == NULL)
 		return;
 	l->connected = true;
-	link_send_msg(e, l, &m);
+	cell_link_send(e, l, &m);
 }
 
 /*
@@ -143,16 +144,16 @@
 }
 
 /* Dispatches a message from a coordinator. */
-void link_on_message(void *arg, peer_id peer, const uint8_t *body, size_t len)
+void cell_link_on_message(void *arg, peer_id peer, const uint8_t *body, size_t len)
 {
 	struct entry *e = arg;
-	struct cell_link *l = link_by_peer(e, peer);
+	struct cell_link *l = cell_link_by_peer(e, peer);
 	g_autoptr(GError) err = NULL;
 	struct msg m;
 
 	if (l == NULL)
 		return;
-	l->last_received = loop_now(e->p->loop);
+	l->last_received_at = loop_now(e->p->loop);
 	if (!msg_decode(&m, body, len, &err)) {
 		log_warning("entry", "Invalid message from the coordinator of cell %s: %s.",
 			l->name, err->message);
@@ -163,7 +164,7 @@
 		on_welcome(e, l, &m.welcome);
 	else if (m.kind == MSG_SUMMARY)
 		on_summary(l, &m.summary);
-	else if (m.kind == MSG_ANSWER && !query_on_result(e, &m.answer))
+	else if (m.kind == MSG_ANSWER && !query_on_answer(e, &m.answer))
 		job_on_answer(e, &m.answer);
 	else if (m.kind == MSG_REPLY)
 		query_on_reply(e, &m.reply);
@@ -171,10 +172,10 @@
 }
 
 /* Marks a link as disconnected and reads the coordinators' addresses again. */
-void link_on_closed(void *arg, peer_id peer, const GError *why)
+void cell_link_on_closed(void *arg, peer_id peer, const GError *why)
 {
 	struct entry *e = arg;
-	struct cell_link *l = link_by_peer(e, peer);
+	struct cell_link *l = cell_link_by_peer(e, peer);
 
 	(void)why;
 	if (l == NULL)
@@ -185,6 +186,6 @@
 	l->peer = PEER_NONE;
 	l->connected = false;
 	l->ready = false;
-	l->next_dial_at = loop_now(e->p->loop) + REDIAL_DELAY;
-	config_refresh(e);
+	l->next_dial_at = loop_now(e->p->loop) + REDIAL_DELAY_NS;
+	config_reload(e);
 }
--- a/packages/daemon/entry-query.c
+++ b/packages/daemon/entry-query.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define QUERY_TIMEOUT	       (5 * NSEC_PER_SEC)
+#define QUERY_TIMEOUT_NS       (5 * NSEC_PER_SEC)
 #define NO_COORDINATOR_RETRY_S 3
 
 /* Removes a query and frees it. */
@@ -23,7 +23,7 @@
 }
 
 /* Answers with the replies received so far and closes the query. */
-static void reply_gathered(struct open_query *q)
+static void reply_merged(struct open_query *q)
 {
 	AUTOFREE char *text = json_dumps(q->replies, JSON_COMPACT | JSON_SORT_KEYS);
 
@@ -34,7 +34,7 @@
 /* Sends the query to a cell; false if the coordinator is not connected. */
 static bool send_to_cell(struct open_query *q, struct cell_link *l)
 {
-	if (l == NULL || !l->ready || !link_send_msg(q->entry, l, &q->msg))
+	if (l == NULL || !l->ready || !cell_link_send(q->entry, l, &q->msg))
 		return false;
 	q->replies_pending++;
 	return true;
@@ -56,7 +56,7 @@
 		q->msg.cancel.request = q->id;
 	g_hash_table_insert(e->queries, &q->id, q);
 	if (q->cell != NULL) {
-		send_to_cell(q, link_find(e, q->cell));
+		send_to_cell(q, cell_link_find(e, q->cell));
 	} else {
 		g_hash_table_iter_init(&it, e->links);
 		while (g_hash_table_iter_next(&it, NULL, &value))
@@ -64,8 +64,8 @@
 	}
 	if (q->replies_pending > 0)
 		return;
-	if (q->gather)
-		reply_gathered(q);
+	if (q->all_cells)
+		reply_merged(q);
 	else {
 		http_reply_outcome(q->request, ERR_NO_COORDINATOR,
 			"the cell has no coordinator; nothing can be said about the job", false,
@@ -82,7 +82,7 @@
 
 	if (q == NULL)
 		return;
-	if (!q->gather) {
+	if (!q->all_cells) {
 		if (r->failed)
 			http_reply_problem(q->request, r->error, r->json, NULL);
 		else
@@ -97,14 +97,14 @@
 		json_array_append(q->replies, reply);
 	json_decref(reply);
 	if (--q->replies_pending == 0)
-		reply_gathered(q);
+		reply_merged(q);
 }
 
 /*
- * Handles the result of a job that was requested by a query; false if the message answers a
- * submission instead.
+ * Handles a job's result that was asked for with GET /v1/jobs/ID/result; returns false if the
+ * message answers a submission instead.
  */
-bool query_on_result(struct entry *e, const struct msg_answer *a)
+bool query_on_answer(struct entry *e, const struct msg_answer *a)
 {
 	struct open_query *q =
 		a->request != 0 ? g_hash_table_lookup(e->queries, &a->request) : NULL;
@@ -125,14 +125,14 @@
 
 	g_hash_table_iter_init(&it, e->queries);
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
-		if (now - ((struct open_query *)value)->sent_at > QUERY_TIMEOUT)
+		if (now - ((struct open_query *)value)->sent_at > QUERY_TIMEOUT_NS)
 			g_ptr_array_add(expired, value);
 	}
 	for (guint i = 0; i < expired->len; i++) {
 		struct open_query *q = expired->pdata[i];
 
-		if (q->gather) {
-			reply_gathered(q);
+		if (q->all_cells) {
+			reply_merged(q);
 			continue;
 		}
 		http_reply_outcome(q->request, ERR_NO_COORDINATOR,
--- a/packages/daemon/entry-submit.c
+++ b/packages/daemon/entry-submit.c
@@ -10,22 +10,22 @@
 #define CORES_MAX	 100000
 #define MEMORY_MB_MAX	 100000000
 
-COUNTER(jobs_accepted, "damaskpath_submissions_total", "Valid submissions.");
+COUNTER(submissions_valid, "damaskpath_submissions_total", "Valid submissions.");
 COUNTER(jobs_limited, "damaskpath_submissions_limited_total",
 	"Submissions refused by a limit of this entry.");
 
-/* The members that the body of a submission may have, with their types and limits. */
-enum body_type {
+/* The JSON members that the body of a submission may have, with their types and limits. */
+enum body_field_type {
 	BODY_TEXT,
 	BODY_COUNT,
 	BODY_SECONDS,
 	BODY_BOOL
 };
-static const struct body_member {
+static const struct body_field {
 	const char *name;
-	enum body_type type;
+	enum body_field_type type;
 	double max;
-} body_members[] = {
+} body_fields[] = {
 	{"organisation", BODY_TEXT, JOB_NAME_MAX},
 	{"class", BODY_TEXT, JOB_NAME_MAX},
 	{"kind", BODY_TEXT, JOB_NAME_MAX},
@@ -42,42 +42,42 @@
 	{"checkpoint", BODY_BOOL, 0},
 };
 
-/* Checks the type and size of a member. */
-static bool check_member(const struct body_member *m, const json_t *v, GError **err)
+/* Checks the type and size of a JSON member. */
+static bool check_field(const struct body_field *f, const json_t *v, GError **err)
 {
 	double n;
 
-	switch (m->type) {
+	switch (f->type) {
 	case BODY_TEXT:
-		if (json_is_string(v) && (double)json_string_length(v) < m->max)
+		if (json_is_string(v) && (double)json_string_length(v) < f->max)
 			return true;
-		error_set(err, ERR_INVALID, "%s must be text of less than %.0f bytes", m->name,
-			m->max);
+		error_set(err, ERR_INVALID, "%s must be text of less than %.0f bytes", f->name,
+			f->max);
 		return false;
 	case BODY_COUNT:
 		n = json_is_integer(v) ? (double)json_integer_value(v) : -1;
-		if (n >= 0 && n <= m->max)
+		if (n >= 0 && n <= f->max)
 			return true;
-		error_set(err, ERR_INVALID, "%s must be a whole number from 0 to %.0f", m->name,
-			m->max);
+		error_set(err, ERR_INVALID, "%s must be a whole number from 0 to %.0f", f->name,
+			f->max);
 		return false;
 	case BODY_SECONDS:
 		n = json_is_number(v) ? json_number_value(v) : -1;
-		if (n > 0 && n <= m->max)
+		if (n > 0 && n <= f->max)
 			return true;
 		error_set(err, ERR_INVALID, "%s must be seconds, above 0 and up to %.0f",
-			m->name, m->max);
+			f->name, f->max);
 		return false;
 	case BODY_BOOL:
 		if (json_is_boolean(v))
 			return true;
-		error_set(err, ERR_INVALID, "%s must be true or false", m->name);
+		error_set(err, ERR_INVALID, "%s must be true or false", f->name);
 		return false;
 	}
 	return false;
 }
 
-/* Checks all members of a body and rejects unknown ones. */
+/* Checks all JSON members of a body and rejects unknown ones. */
 static bool check_body(const json_t *body, GError **err)
 {
 	const char *name;
@@ -88,36 +88,36 @@
 		return false;
 	}
 	json_object_foreach((json_t *)body, name, v) {
-		const struct body_member *m = NULL;
+		const struct body_field *f = NULL;
 
-		for (size_t i = 0; i < ARRAY_LEN(body_members); i++) {
-			if (strcmp(body_members[i].name, name) == 0)
-				m = &body_members[i];
+		for (size_t i = 0; i < ARRAY_LEN(body_fields); i++) {
+			if (strcmp(body_fields[i].name, name) == 0)
+				f = &body_fields[i];
 		}
-		if (m == NULL) {
+		if (f == NULL) {
 			error_set(err, ERR_INVALID, "unknown member %s", name);
 			return false;
 		}
-		if (!check_member(m, v, err))
+		if (!check_field(f, v, err))
 			return false;
 	}
 	return true;
 }
 
-/* Returns a copy of a string member, or NULL if it is absent. */
-static char *member_text(const json_t *body, const char *name)
+/* Returns a copy of a string from the body, or NULL if it is absent. */
+static char *field_text(const json_t *body, const char *name)
 {
 	return xstrdup(json_string_value(json_object_get(body, name)));
 }
 
-/* Returns an integer member, or 0 if it is absent. */
-static uint32_t member_count(const json_t *body, const char *name)
+/* Returns an integer from the body, or 0 if it is absent. */
+static uint32_t field_count(const json_t *body, const char *name)
 {
 	return (uint32_t)json_integer_value(json_object_get(body, name));
 }
 
-/* Returns a member in seconds as milliseconds, or 0 if it is absent. */
-static int64_t member_ms(const json_t *body, const char *name)
+/* Returns a duration from the body, which is in seconds, as milliseconds; 0 if it is absent. */
+static int64_t field_ms(const json_t *body, const char *name)
 {
 	return (int64_t)(json_number_value(json_object_get(body, name)) * 1000.0);
 }
@@ -153,18 +153,18 @@
 		error_set(err, ERR_INVALID, "within must be any, rack or worker");
 		return false;
 	}
-	s->org = member_text(body, "organisation");
-	s->class_name = member_text(body, "class");
-	s->kind = member_text(body, "kind");
-	s->payload_type = member_text(body, "payload_type");
+	s->org = field_text(body, "organisation");
+	s->class_name = field_text(body, "class");
+	s->kind = field_text(body, "kind");
+	s->payload_type = field_text(body, "payload_type");
 	s->adjacency = a;
-	s->accelerators = member_count(body, "accelerators");
-	s->cores = member_count(body, "cores");
-	s->memory_mb = member_count(body, "memory_mb");
+	s->accelerators = field_count(body, "accelerators");
+	s->cores = field_count(body, "cores");
+	s->memory_mb = field_count(body, "memory_mb");
 	s->idempotent = json_is_true(json_object_get(body, "idempotent"));
 	s->checkpoint = json_is_true(json_object_get(body, "checkpoint"));
-	s->run_time_ms = member_ms(body, "run_time_s");
-	s->deadline_ms = member_ms(body, "deadline_s");
+	s->run_time_ms = field_ms(body, "run_time_s");
+	s->deadline_ms = field_ms(body, "deadline_s");
 	if (s->org == NULL || *s->org == '\0') {
 		error_set(err, ERR_INVALID, "organisation is missing");
 		return false;
@@ -173,8 +173,8 @@
 }
 
 /*
- * Sets the priority and urgency of the job's class. A job without a class gets the class with
- * the highest priority number.
+ * Sets the job's priority and urgency from its class. A job without a class gets the class with
+ * the highest priority number, which is the least important one: it is queued last.
  */
 static bool apply_class(const struct doc *d, struct job_spec *s, GError **err)
 {
@@ -280,13 +280,16 @@
 	return g_compute_checksum_for_data(G_CHECKSUM_SHA256, body->data, body->len);
 }
 
-/* Calls job_open on the loop. */
-static void job_open_posted(void *arg)
+/* Callback of loop_post: calls job_open on the loop. */
+static void job_open_cb(void *arg)
 {
 	job_open(arg);
 }
 
-/* Checks the caller's token, the payload limit, the class and the limits of this entry. */
+/*
+ * Checks the caller's token, the payload limit, the class and the limits of this entry. Also
+ * sets the job's class, if it has none, and its priority and urgency.
+ */
 static bool check_admission(struct entry *e, struct http_request *r, const struct entry_view *v,
 	struct job_spec *s, GError **err)
 {
@@ -371,7 +374,7 @@
 		http_reply_error(r, err);
 		return;
 	}
-	counter_add(&jobs_accepted, 1);
+	counter_add(&submissions_valid, 1);
 	__atomic_fetch_add(&e->open_count, 1, __ATOMIC_RELAXED);
-	loop_post(e->p->loop, job_open_posted, j);
+	loop_post(e->p->loop, job_open_cb, j);
 }
--- a/packages/daemon/entry.c
+++ b/packages/daemon/entry.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define TICK_PERIOD	 (200 * NSEC_PER_MSEC)
+#define TICK_PERIOD_NS	 (200 * NSEC_PER_MSEC)
 #define STOPPING_RETRY_S 1
 
 /* Runs the periodic work of the entry. */
@@ -13,7 +13,7 @@
 	int64_t now = loop_now(e->p->loop);
 
 	config_tick(e, now);
-	links_tick(e, now);
+	cell_links_tick(e, now);
 	jobs_check_timeouts(e, now);
 	queries_check_timeouts(e, now);
 }
@@ -22,7 +22,8 @@
 struct entry *entry_new(struct process *p, GError **err)
 {
 	struct entry *e = xcalloc(1, sizeof(*e));
-	struct peer_events events = {link_on_opened, link_on_message, link_on_closed, e};
+	struct peer_events events = {
+		cell_link_on_opened, cell_link_on_message, cell_link_on_closed, e};
 	struct options *o = p->options;
 	struct http_limits limits = {
 		.body_max = (size_t)options_number(o, "body-max"),
@@ -35,11 +36,11 @@
 	};
 
 	e->p = p;
-	e->answer_timeout = options_number(o, "answer-timeout");
-	e->coordinator_timeout = options_number(o, "coordinator-timeout");
+	e->answer_timeout_ns = options_number(o, "answer-timeout");
+	e->coordinator_timeout_ns = options_number(o, "coordinator-timeout");
 	e->open_max = (uint32_t)options_number(o, "open-max");
 	e->store_up = true;
-	e->links = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, link_free);
+	e->links = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, cell_link_free);
 	e->jobs_by_id = g_hash_table_new(g_str_hash, g_str_equal);
 	e->queries = g_hash_table_new(g_int64_hash, g_int64_equal);
 	e->rate_buckets = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
@@ -54,7 +55,7 @@
 	e->name = xstrdup(*options_string(o, "name") ? options_string(o, "name")
 						     : http_server_addr(e->http));
 	config_start(e);
-	e->timer = loop_timer_add(p->loop, TICK_PERIOD, TICK_PERIOD, on_timer, e);
+	e->timer = loop_timer_add(p->loop, TICK_PERIOD_NS, TICK_PERIOD_NS, on_timer, e);
 	log_info("entry", "Entry %s started. http=%s", e->name, http_server_addr(e->http));
 	return e;
 }
