--- a/packages/base/base.h
+++ b/packages/base/base.h
@@ -34,7 +34,10 @@
 struct bytes bytes_copy(const void *data, size_t len);
 void bytes_clear(struct bytes *b);
 
-/* error.c: all error kinds. error_infos[] says how each is reported to a caller. */
+/*
+ * error.c: all error kinds. error_infos[] says how each is reported to a caller. An error that
+ * is only handled inside a process may have a kind whose title does not fit it.
+ */
 enum error_kind {
 	ERR_INVALID,
 	ERR_TOO_LARGE,
@@ -51,8 +54,8 @@
 	ERR_STORE_DOWN,
 	ERR_STORE_UNSURE,
 	ERR_DRAINING,
-	ERR_UPSTREAM_FAILED,
-	ERR_MEMBER_LOST,
+	ERR_UPSTREAM_FAILED, /* also a transport error of any HTTP call, see http-client.c */
+	ERR_MEMBER_LOST,     /* also any broken peer connection, see peer-net.c */
 	ERR_UNKNOWN_OUTCOME,
 	ERR_CANCELLED,
 	ERR_PROTOCOL,
@@ -60,10 +63,10 @@
 	ERR_COUNT
 };
 
-/* When a failed request may be retried. */
+/* When a failed request may be retried. Only reported to the caller, as "retry". */
 enum error_retry {
 	RETRY_NEVER,
-	RETRY_AFTER_CHANGE,
+	RETRY_AFTER_CHANGE, /* once the request, quota or stored state has changed */
 	RETRY_LATER
 };
 
@@ -190,7 +193,7 @@
 	OPTION_STRING,
 	OPTION_NUMBER,
 	OPTION_DURATION,
-	OPTION_FLAG
+	OPTION_BOOL /* yes or no */
 };
 /*
  * min and max limit numbers, and durations in nanoseconds. A string must not be empty unless
@@ -243,8 +246,8 @@
 
 /*
  * rcu.c: shared values that any thread may read without a lock. A reader calls rcu_enter before
- * and rcu_leave after using a value. rcu_publish replaces a value and frees the old one when no
- * reader can still hold it.
+ * and rcu_leave after using a value. rcu_publish replaces a value, blocks until no reader can
+ * hold the old one, and frees it; it must not be called between rcu_enter and rcu_leave.
  */
 void rcu_enter(void);
 void rcu_leave(void);
--- a/packages/base/option.c
+++ b/packages/base/option.c
@@ -51,7 +51,7 @@
 			"ms (units: ms, s, m, h, d)",
 			e->name, text, e->min / NSEC_PER_MSEC, e->max / NSEC_PER_MSEC);
 		break;
-	case OPTION_FLAG:
+	case OPTION_BOOL:
 		error_set(err, ERR_INVALID, "setting %s: '%s' is neither yes nor no", e->name,
 			text);
 		break;
@@ -80,7 +80,7 @@
 		ok = duration_parse(text, &v->number) && v->number >= e->min &&
 		     v->number <= e->max;
 		break;
-	case OPTION_FLAG:
+	case OPTION_BOOL:
 		v->number = strcmp(text, "yes") == 0;
 		ok = v->number || strcmp(text, "no") == 0;
 		break;
@@ -124,7 +124,11 @@
 	free(line);
 }
 
-/* Parse the settings of a role, skipping argv[0]. Return NULL and set err if one is invalid. */
+/*
+ * Parse the settings of a role, skipping argv[0]. Settings of other roles are not accepted on
+ * the command line, but are set from the environment or the default and validated, too. Return
+ * NULL and set err if any setting is invalid.
+ */
 struct options *options_parse(const struct option_entry *table, size_t count, const char *role,
 	int argc, char **argv, GError **err)
 {
@@ -188,7 +192,7 @@
 	return find_value(o, name)->text;
 }
 
-/* Return a number, a duration in nanoseconds, or a flag as 0 or 1. */
+/* Return a number, a duration in nanoseconds, or a boolean as 0 or 1. */
 int64_t options_number(const struct options *o, const char *name)
 {
 	return find_value(o, name)->number;
