--- a/packages/base/event.c
+++ b/packages/base/event.c
@@ -9,8 +9,8 @@
 
 /*
  * Structured log events on standard output, one logfmt line per event. Operators search them
- * with grep, and damaskpath trace merges them. Lines are buffered in memory and written only
- * when the output is writable, in chunks that a pipe accepts without blocking, so that a
+ * with grep; each line has a time and a process name. Lines are buffered in memory and written
+ * only when the output is writable, in chunks that a pipe accepts without blocking, so that a
  * stalled reader never blocks the process.
  */
 
@@ -18,7 +18,7 @@
 #define WRITE_MAX	    4096u /* bytes; a writable pipe accepts them without blocking */
 #define EVENT_LINES_PER_S   40u	  /* lines per second and event */
 #define PROCESS_LINES_PER_S 200u  /* lines per second for all events of a process */
-#define LINE_MAX_LEN	    1024  /* bytes; longer fields are truncated */
+#define FIELDS_MAX_LEN	    1024 /* bytes for all fields of an event and a NUL; the rest is cut */
 
 COUNTER(lines_dropped, "damaskpath_log_dropped_total",
 	"Log lines dropped for a slow reader or over the rate.");
@@ -32,7 +32,7 @@
 static pthread_mutex_t lock = PTHREAD_MUTEX_INITIALIZER;
 static GString *pending;
 static char *process_name;
-static int64_t rate_second;
+static int64_t rate_window_s; /* wall-clock second that the line counts below are for */
 static unsigned int lines_in_second;
 static unsigned int event_lines_in_second[EVENT_COUNT];
 static uint64_t dropped_since_report;
@@ -67,13 +67,13 @@
  * Reset the rate limits when a new second has begun, and report the lines dropped before it.
  * Call with the lock held.
  */
-static void update_rate_second(int64_t wall_ns)
+static void update_rate_window(int64_t wall_ns)
 {
 	AUTOFREE char *text = NULL;
 
-	if (wall_ns / NSEC_PER_SEC == rate_second)
+	if (wall_ns / NSEC_PER_SEC == rate_window_s)
 		return;
-	rate_second = wall_ns / NSEC_PER_SEC;
+	rate_window_s = wall_ns / NSEC_PER_SEC;
 	lines_in_second = 0;
 	memset(event_lines_in_second, 0, sizeof(event_lines_in_second));
 	if (dropped_since_report == 0)
@@ -86,7 +86,7 @@
 /* Log an event, with its fields formatted as logfmt by fmt. May be called from any thread. */
 void event_log(enum event_id id, const char *fmt, ...)
 {
-	char text[LINE_MAX_LEN];
+	char text[FIELDS_MAX_LEN];
 	int64_t wall_ns = clock_wall(&clock_system);
 	va_list ap;
 
@@ -98,7 +98,7 @@
 			*p = ' ';
 	}
 	pthread_mutex_lock(&lock);
-	update_rate_second(wall_ns);
+	update_rate_window(wall_ns);
 	if (lines_in_second >= PROCESS_LINES_PER_S ||
 		event_lines_in_second[id] >= EVENT_LINES_PER_S) {
 		counter_add(&lines_dropped, 1);
