--- a/packages/base/histogram.c
+++ b/packages/base/histogram.c
@@ -3,9 +3,10 @@
 #include <inttypes.h>
 
 /*
- * Upper bounds of the histogram buckets, in seconds. The bounds are log-linear, so that
- * quantiles are accurate to within a third, and the same for all histograms, so that those of
- * several processes can be added up.
+ * Upper bounds of the histogram buckets, in seconds: in steps of 1, 2 and 5 up to 20, and then
+ * 60. A quantile is known only to lie between two neighbouring bounds, which are a factor of 2
+ * to 3 apart; a duration above 60 s has no upper bound. All histograms have the same bounds, so
+ * that those of several processes can be added up.
  */
 static const double bucket_bounds[HISTOGRAM_BOUNDS] = {
 	0.0005, 0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 5, 10, 20, 60};
