--- a/packages/transport/http-client.c
+++ b/packages/transport/http-client.c
@@ -110,7 +110,10 @@
 	return t;
 }
 
-/* Stores the result in the call and frees the transfer. */
+/*
+ * Stores the result in the call and frees the transfer. Any transport error has the kind
+ * ERR_UPSTREAM_FAILED, whatever server was called.
+ */
 static void transfer_finish(struct transfer *t, CURLcode code)
 {
 	struct http_call *c = t->call;
@@ -215,7 +218,10 @@
 	return c;
 }
 
-/* Stops the client; pending calls are dropped and their done callback is not invoked. */
+/*
+ * Stops the client. The done callbacks of pending calls are not invoked, and neither these
+ * calls nor their transfers are freed.
+ */
 void http_client_free(struct http_client *c)
 {
 	pthread_mutex_lock(&c->lock);
@@ -244,7 +250,7 @@
 	GString *line;
 	http_stream_fn *fn;
 	void *arg;
-	bool ended; /* fn has returned false */
+	bool ended; /* fn has returned false for a line; see on_progress for NULL */
 };
 
 /* Splits a streamed response into lines and passes them to fn. */
@@ -267,7 +273,10 @@
 	return s->line->len > RESPONSE_MAX ? 0 : len;
 }
 
-/* Polls fn whether to continue; libcurl calls this about once a second. */
+/*
+ * Asks fn, by a call with NULL, whether to go on. libcurl calls this about once a second, or
+ * more often. If fn returns false, the transfer ends with CURLE_ABORTED_BY_CALLBACK.
+ */
 static int on_progress(void *arg, curl_off_t a, curl_off_t b, curl_off_t c, curl_off_t d)
 {
 	struct stream *s = arg;
@@ -282,8 +291,8 @@
 /*
  * POSTs body and passes each line of the response to fn, until fn returns false, the server
  * ends the response, or nothing arrives for idle_timeout (nanoseconds, rounded down to
- * seconds). fn is also called with NULL about once a second. Returns true if fn ended the
- * stream.
+ * seconds). fn is also called with NULL about once a second, or more often. Returns true if fn
+ * ended the stream, by returning false for a line or for NULL.
  */
 bool http_stream(const char *url, const char *body, int64_t idle_timeout, http_stream_fn *fn,
 	void *arg, GError **err)
--- a/packages/transport/peer-net.c
+++ b/packages/transport/peer-net.c
@@ -233,7 +233,10 @@
 	}
 }
 
-/* Reads and processes the available input; false if the connection was dropped. */
+/*
+ * Reads and processes the available input; false if the connection was dropped. A broken
+ * connection has the kind ERR_MEMBER_LOST, whatever the peer is.
+ */
 static bool receive_peer(struct peer *p)
 {
 	uint8_t chunk[READ_CHUNK_SIZE];
--- a/packages/transport/transport.h
+++ b/packages/transport/transport.h
@@ -104,8 +104,13 @@
 void http_reply(
 	struct http_request *r, int status, const char *type, const void *body, size_t len);
 void http_reply_text(struct http_request *r, int status, const char *type, const char *text);
+/*
+ * Replies with an error (application/problem+json); not_run and retry_after_s are those given,
+ * not those that the error table has for the kind.
+ */
 void http_reply_outcome(struct http_request *r, enum error_kind kind, const char *detail,
 	bool not_run, uint32_t retry_after_s, const char *extra_json);
+/* Does the same with not_run and retry_after_s of the error table. */
 void http_reply_problem(struct http_request *r, enum error_kind kind, const char *detail,
 	const char *extra_json);
 void http_reply_error(struct http_request *r, const GError *err);
@@ -117,14 +122,17 @@
 	struct curl_slist *headers;
 	struct bytes body;
 	int64_t timeout; /* nanoseconds; 0 for none */
-	/* Opens a new connection: pooled ones may be dead without a reset. */
+	/*
+	 * Set to open a new connection instead of reusing a pooled one, whose peer may be gone
+	 * without having sent a TCP reset.
+	 */
 	bool fresh_connection;
 	/* The response; without one, status is 0 and error is set. */
 	int status;
 	struct bytes answer;
 	char *type;
 	GError *error;
-	/* The connection failed, so the server cannot have seen the request. */
+	/* No connection could be established, so the server cannot have seen the request. */
 	bool never_sent;
 	/* Called on the client's event loop; takes ownership of the call. */
 	void (*done)(struct http_call *call, void *arg);
@@ -138,8 +146,12 @@
 struct http_client *http_client_new(struct loop *l);
 void http_client_free(struct http_client *c);
 void http_client_send(struct http_client *c, struct http_call *call);
-/* Receives a line of a stream, or NULL to poll. Returns false to end the stream. */
+/*
+ * Called with each line of a streamed response, and with line NULL about once a second, or more
+ * often, to ask whether to go on. Returns false to end the stream.
+ */
 typedef bool http_stream_fn(const char *line, size_t len, void *arg);
+/* Fails with ERR_STORE_DOWN, as only the watch of the store uses it. */
 bool http_stream(const char *url, const char *body, int64_t idle_timeout, http_stream_fn *fn,
 	void *arg, GError **err);
 
