--- a/packages/cli/cli.h
+++ b/packages/cli/cli.h
@@ -3,11 +3,17 @@
 
 #include "state.h"
 
-/* Exit codes in addition to those of the error kinds. */
+/*
+ * Exit codes besides those of the error kinds. EXIT_USAGE is also the code of ERR_INVALID and
+ * ERR_TOO_LARGE. config diff exits with 1 if the texts differ.
+ */
 #define EXIT_OK	   0
 #define EXIT_USAGE 2
 
-/* The global options and the optional headers of requests. */
+/*
+ * The global options and the optional headers of requests. An entry is a daemon that serves the
+ * public HTTP API (role entry or standalone).
+ */
 struct cli {
 	char **entries;	    /* addresses of the entries, NULL-terminated */
 	const char *token;  /* bearer token, or NULL */
@@ -38,8 +44,8 @@
 struct response {
 	int status;
 	char *type;
-	char *job;
-	char *outcome;
+	char *job;     /* unused */
+	char *outcome; /* unused */
 	struct bytes body;
 	json_t *json;
 };
--- a/packages/cli/cmd-cluster.c
+++ b/packages/cli/cmd-cluster.c
@@ -3,8 +3,9 @@
 #include <string.h>
 
 /*
- * GET a list of rows. If key is not NULL, keep only the rows where it has the given value; none
- * is an error. Return the exit code; the caller releases the rows in any case.
+ * GET a list of rows. If key is not NULL, keep only the rows whose field key equals value, and
+ * fail with the exit code of ERR_NOT_FOUND if there is no such row. Return the exit code; the
+ * caller releases the rows in any case.
  */
 static int fetch_rows(
 	struct cli *c, const char *path, const char *key, const char *value, json_t **rows)
--- a/packages/cli/cmd-config.c
+++ b/packages/cli/cmd-config.c
@@ -4,6 +4,12 @@
 #include <stdlib.h>
 #include <string.h>
 
+/*
+ * Every accepted edit of the configuration gets a number from one counter for all sections. A
+ * section has the number of the edit that wrote it, and a process the number of the last edit
+ * that it has read.
+ */
+
 /* Read a file. Print a message and return false if that fails. */
 static bool read_file(const char *path, char **text)
 {
@@ -66,21 +72,24 @@
 }
 
 /*
- * Fetch the current text and edit number of a section; the caller frees the text. The text is
- * empty and the number 0 if the entry returns none. Return false if no entry responds.
+ * Fetch the current text of a section and the number of the edit that wrote it; the caller
+ * frees the text. The text is empty and the number 0 if the entry returns none. Return false if
+ * no entry responds.
  */
-static bool fetch_section(struct cli *c, const char *section, uint64_t *edit, char **text)
+static bool fetch_section(
+	struct cli *c, const char *section, uint64_t *edit_number, char **text)
 {
 	AUTOFREE char *path = NULL;
 	struct response resp;
 
-	*edit = 0;
+	*edit_number = 0;
 	*text = xstrdup("");
 	xasprintf(&path, "/v1/config/%s", section);
 	if (!client_request(c, "GET", path, NULL, &resp))
 		return false;
 	if (resp.status == 200) {
-		*edit = (uint64_t)json_integer_value(json_object_get(resp.json, "number"));
+		*edit_number =
+			(uint64_t)json_integer_value(json_object_get(resp.json, "number"));
 		free(*text);
 		*text = xstrdup(json_string_value(json_object_get(resp.json, "text")));
 	}
@@ -115,15 +124,19 @@
 	return code;
 }
 
-/* Replace a section; the entry rejects the edit unless the section is still at base_edit. */
-static int put_section(struct cli *c, const char *section, const char *text, uint64_t base_edit)
+/*
+ * Replace a section. The entry rejects the edit unless the section was last written by the edit
+ * base_edit_number.
+ */
+static int put_section(
+	struct cli *c, const char *section, const char *text, uint64_t base_edit_number)
 {
 	const char *who = getenv("USER");
 	AUTOFREE char *path = NULL;
 	struct response resp;
 	int code = EXIT_OK;
 
-	xasprintf(&path, "/v1/config/%s?base=%" PRIu64 "&who=%s", section, base_edit,
+	xasprintf(&path, "/v1/config/%s?base=%" PRIu64 "&who=%s", section, base_edit_number,
 		who != NULL && *who != '\0' ? who : "operator");
 	if (!client_request(c, "PUT", path, text, &resp))
 		return error_info(ERR_NO_COORDINATOR)->exit_code;
@@ -152,12 +165,12 @@
 	for (guint i = 0; code == EXIT_OK && i < sections->len; i++) {
 		const struct doc_section *s = sections->pdata[i];
 		AUTOFREE char *current_text = NULL;
-		uint64_t edit;
+		uint64_t edit_number;
 
-		if (!fetch_section(c, s->name, &edit, &current_text))
+		if (!fetch_section(c, s->name, &edit_number, &current_text))
 			return error_info(ERR_NO_COORDINATOR)->exit_code;
 		if (strcmp(current_text, s->text) != 0)
-			code = put_section(c, s->name, s->text, edit);
+			code = put_section(c, s->name, s->text, edit_number);
 		else if (!c->json)
 			printf("%s: unchanged\n", s->name);
 	}
@@ -195,17 +208,17 @@
 {
 	g_autofree char *text = NULL;
 	AUTOFREE char *current_text = NULL;
-	uint64_t base_edit = 0;
+	uint64_t base_edit_number = 0;
 
 	if (argc != 2 && argc != 3)
 		return EXIT_USAGE;
 	if (!read_file(argv[1], &text))
 		return error_info(ERR_INVALID)->exit_code;
 	if (argc == 3)
-		base_edit = strtoull(argv[2], NULL, 10);
-	else if (!fetch_section(c, argv[0], &base_edit, &current_text))
+		base_edit_number = strtoull(argv[2], NULL, 10);
+	else if (!fetch_section(c, argv[0], &base_edit_number, &current_text))
 		return error_info(ERR_NO_COORDINATOR)->exit_code;
-	return put_section(c, argv[0], text, base_edit);
+	return put_section(c, argv[0], text, base_edit_number);
 }
 
 /* Count the lines that two lists have in common at the start, or at the end if from_end. */
@@ -228,7 +241,7 @@
 	AUTOFREE char *current_text = NULL;
 	g_auto(GStrv) old_lines = NULL;
 	g_auto(GStrv) new_lines = NULL;
-	uint64_t edit;
+	uint64_t edit_number;
 	guint prefix_len;
 	guint suffix_len;
 
@@ -236,7 +249,7 @@
 		return EXIT_USAGE;
 	if (!read_file(argv[1], &text))
 		return error_info(ERR_INVALID)->exit_code;
-	if (!fetch_section(c, argv[0], &edit, &current_text))
+	if (!fetch_section(c, argv[0], &edit_number, &current_text))
 		return error_info(ERR_NO_COORDINATOR)->exit_code;
 	old_lines = g_strsplit(current_text, "\n", -1);
 	new_lines = g_strsplit(text, "\n", -1);
@@ -246,8 +259,8 @@
 		new_lines + prefix_len, g_strv_length(new_lines) - prefix_len, true);
 	if (strcmp(current_text, text) == 0)
 		return EXIT_OK;
-	printf("--- %s, edit %" PRIu64 "\n+++ %s\n@@ line %u @@\n", argv[0], edit, argv[1],
-		prefix_len + 1);
+	printf("--- %s, edit %" PRIu64 "\n+++ %s\n@@ line %u @@\n", argv[0], edit_number,
+		argv[1], prefix_len + 1);
 	for (guint i = prefix_len; i < g_strv_length(old_lines) - suffix_len; i++)
 		printf("-%s\n", old_lines[i]);
 	for (guint i = prefix_len; i < g_strv_length(new_lines) - suffix_len; i++)
@@ -280,11 +293,11 @@
 
 /* Add a row for a process. */
 static void add_process_row(
-	json_t *rows, const char *process, const char *role, const json_t *edit)
+	json_t *rows, const char *process, const char *role, const json_t *edit_number)
 {
 	json_t *row = json_pack("{s:s,s:s}", "process", process, "role", role);
 
-	json_object_set(row, "number", (json_t *)edit);
+	json_object_set(row, "number", (json_t *)edit_number);
 	json_array_append_new(rows, row);
 }
 
@@ -305,7 +318,10 @@
 	response_clear(&resp);
 }
 
-/* config status: print the edit in use on each configured entry, coordinator and agent. */
+/*
+ * config status: print the number of the last edit read by each configured entry, coordinator
+ * and agent.
+ */
 int cmd_config_status(struct cli *c, int argc, char **argv)
 {
 	static const struct column columns[] = {
--- a/packages/cli/main.c
+++ b/packages/cli/main.c
@@ -75,6 +75,10 @@
 	log_set_level(LOG_LEVEL_WARNING);
 	c.entries = g_strsplit(entries, ",", -1);
 	code = cmd->exec(&c, argc - first_arg - name_args, argv + first_arg + name_args);
+	/*
+	 * A command may return the same code for an invalid document, so print its usage only
+	 * if it was given no arguments.
+	 */
 	if (code == EXIT_USAGE && argc - first_arg - name_args == 0)
 		fprintf(stderr, "usage: damaskpath %s %s\n", cmd->name, cmd->usage);
 	g_strfreev(c.entries);
