--- a/packages/standin/standin-platform.c
+++ b/packages/standin/standin-platform.c
@@ -18,26 +18,31 @@
  *
  *   {"down":true}        the store answers 503 to every call, and leases don't expire
  *   {"door":false}       the store answers 503 to calls on its second address
- *   {"drop_answers":3}   the next 3 writes are done and answered with 500
+ *   {"drop_answers":3}   the next 3 transactions that write a key are committed and answered
+ *                        with 500; those that only remove keys are answered as usual
  *   {"crash":"WORKER"}   the worker loses its state and starts again
- *   {"mute":"WORKER"}    the worker carries out calls and answers them with 500
+ *   {"mute":"WORKER"}    the worker carries out calls and answers them with 500, until
+ *                        "mute" names another worker or none that exists
  *   {"late_orders":2}    the next 2 starts are answered with 500 and carried out later
  *   {"lost_starts":1}    the next start is carried out and never answered
  *   {"lost_holds":1}     the next lease renewal is carried out and never answered
  *
- * Its answer has the number of calls to the store ("calls") and of starts on each worker
- * ("started"), the jobs that had a task started ("begun"), and every violation of what the
- * scheduler guarantees ("wrong").
+ * The answer to POST /control has the number of calls to the store ("calls") and of starts on
+ * each worker ("started"), the jobs that had a task started ("begun"), and every violation of
+ * what the scheduler guarantees ("wrong").
  */
 
-#define ACCELERATORS	      8 /* of each worker */
-#define MUTE_RESTART_DELAY_MS 2500
+#define ACCELERATORS	      8	   /* of each worker */
+#define MUTE_CRASH_SILENCE_MS 2500 /* after a mute worker crashes, until its heartbeat */
+#define STOP_DURATION_MS      100  /* from a stop call until the run ends */
 #define START_DELAY_MS	      2500 /* of the starts that late_orders delays */
 #define TICK		      (20 * NSEC_PER_MSEC)
 #define HEARTBEAT_PERIOD      (300 * NSEC_PER_MSEC)
 #define LEASE_MAX_MS	      6000
 #define WATCH_EVENTS_MAX      1000
+#define JOB_ID_LEN	      16 /* a task's name begins with the id of its job */
 
+/* Members ending in _ms are times of now_ms(), except the durations ttl_ms and remaining_ms. */
 struct item {
 	char *key;
 	char *value; /* in base64, as it is sent */
@@ -48,42 +53,44 @@
 struct lease {
 	int64_t id;
 	int64_t ttl_ms;
-	int64_t until;
+	int64_t until_ms;
 };
 /* A long poll: a watch on the store, or, if worker is set, a lease renewal on a worker. */
 struct pending_request {
 	struct http_request *request;
 	struct worker *worker;
 	char *prefix;
-	int64_t after;
-	int64_t until;
+	int64_t after_revision;
+	int64_t until_ms;
 };
 struct run {
 	char *task;
 	json_int_t attempt;
 	json_int_t accelerators;
 	int64_t remaining_ms;
-	int64_t stop_at;
+	int64_t stop_at_ms;
 };
 /* A start that was answered with 500 and is carried out later. */
 struct delayed_start {
 	struct worker *worker;
 	json_t *start;
-	int64_t at;
+	int64_t due_ms;
 };
 struct worker {
 	char *name;
 	char *app;
 	char *control;
 	struct http_server *server;
-	int64_t instance_started_at;
+	int64_t instance_started_at; /* of now_ms(); sent as "born" */
 	int64_t sequence;
-	int64_t next_heartbeat;
-	int64_t lease_until;
+	int64_t next_heartbeat_ms;
+	int64_t lease_until_ms;
 	json_int_t fence;
 	json_int_t last_end;
 	GPtrArray *runs;
-	GHashTable *unacked_ends;  /* by task: number of its end, until it is acknowledged */
+	/* By task: number of its "done" end until it is acknowledged; other ends are not kept.
+	 */
+	GHashTable *unacked_ends;
 	GHashTable *last_attempts; /* by task: last attempt that was stopped or ended here */
 	json_t *finished;
 	unsigned int started;
@@ -101,16 +108,16 @@
 static int64_t next_lease = 100;
 static bool down;
 static bool second_addr_down;
-static json_int_t drop_answers;
-static json_int_t late_orders;
-static json_int_t lost_starts;
-static json_int_t lost_holds;
+static json_int_t txn_answers_to_drop;
+static json_int_t starts_to_delay;
+static json_int_t start_answers_to_drop;
+static json_int_t renewal_answers_to_drop;
 static GPtrArray *delayed_starts;
-/* What the scheduler did. */
-static GHashTable *started_jobs; /* jobs that had a task started */
-static GHashTable *acked_tasks;	 /* tasks whose end was acknowledged */
+/* Records for the checks of tests. */
+static GHashTable *started_jobs;     /* jobs that had a task started */
+static GHashTable *acked_done_tasks; /* tasks whose "done" end was acknowledged */
 static json_t *violations;
-static unsigned int calls;
+static unsigned int calls; /* calls to the store, without those answered 503 */
 
 static int64_t now_ms(void)
 {
@@ -176,10 +183,10 @@
 	for (guint i = 0; i < history->len && json_array_size(events) < WATCH_EVENTS_MAX; i++) {
 		const struct item *it = history->pdata[i];
 
-		if (it->revision > w->after && g_str_has_prefix(it->key, w->prefix))
+		if (it->revision > w->after_revision && g_str_has_prefix(it->key, w->prefix))
 			json_array_append_new(events, item_json(it));
 	}
-	if (json_array_size(events) == 0 && now_ms() < w->until) {
+	if (json_array_size(events) == 0 && now_ms() < w->until_ms) {
 		json_decref(events);
 		return false;
 	}
@@ -188,7 +195,10 @@
 	return true;
 }
 
-/* A worker's lists of running and finished tasks, with its clock. */
+/*
+ * A worker's lists of running and finished tasks, with its clock. The progress of a run is not
+ * simulated: all report the same percentage, which counts from 0 to 99 and starts again.
+ */
 static json_t *worker_json(const struct worker *w)
 {
 	json_t *running = json_array();
@@ -215,13 +225,16 @@
 	http_reply(r, 500, NULL, "", 0);
 }
 
-/* Answers a lease renewal if tasks have finished or its time is over. */
-static bool answer_hold(struct pending_request *w)
+/*
+ * Answers a lease renewal if tasks have finished or its time is over, or drops the answer if a
+ * fault asks for that; returns whether the request is dealt with.
+ */
+static bool answer_lease_renewal(struct pending_request *w)
 {
-	if (json_array_size(w->worker->finished) == 0 && now_ms() < w->until)
+	if (json_array_size(w->worker->finished) == 0 && now_ms() < w->until_ms)
 		return false;
-	if (lost_holds > 0)
-		lost_holds--;
+	if (renewal_answers_to_drop > 0)
+		renewal_answers_to_drop--;
 	else
 		worker_reply(w->worker, w->request, 200, worker_json(w->worker));
 	return true;
@@ -233,7 +246,7 @@
 	for (guint i = pending_requests->len; i > 0; i--) {
 		struct pending_request *w = pending_requests->pdata[i - 1];
 
-		if (w->worker != NULL ? !answer_hold(w) : !answer_watch(w))
+		if (w->worker != NULL ? !answer_lease_renewal(w) : !answer_watch(w))
 			continue;
 		g_ptr_array_remove_index(pending_requests, i - 1);
 		free(w->prefix);
@@ -277,9 +290,9 @@
 	}
 	for (size_t i = 0; i < json_array_size(removed); i++)
 		item_set(json_string_value(json_array_get(removed, i)), NULL, 0);
-	if (drop_answers > 0 && json_array_size(write) > 0) {
+	if (txn_answers_to_drop > 0 && json_array_size(write) > 0) {
 		/* Committed, but the caller cannot tell from the answer. */
-		drop_answers--;
+		txn_answers_to_drop--;
 		http_reply(r, 500, NULL, "", 0);
 	} else {
 		reply(r, 200, json_pack("{s:I}", "revision", (json_int_t)revision));
@@ -338,7 +351,7 @@
 		struct lease made = {.id = next_lease++,
 			.ttl_ms = json_integer_value(json_object_get(in, "ttl_ms"))};
 
-		made.until = now_ms() + made.ttl_ms;
+		made.until_ms = now_ms() + made.ttl_ms;
 		g_array_append_val(leases, made);
 		reply(r, 200,
 			json_pack("{s:I,s:I}", "lease", (json_int_t)made.id, "ttl_ms",
@@ -353,7 +366,7 @@
 	if (g_str_has_prefix(call, "kv-lease-end/"))
 		lease_end(l->id);
 	else
-		l->until = now_ms() + l->ttl_ms;
+		l->until_ms = now_ms() + l->ttl_ms;
 	reply(r, 200, json_object());
 }
 
@@ -370,7 +383,7 @@
 	w->instance_started_at = now_ms();
 	w->fence = 0;
 	w->last_end = 0;
-	w->lease_until = 0;
+	w->lease_until_ms = 0;
 	g_ptr_array_set_size(w->runs, 0);
 	g_hash_table_remove_all(w->last_attempts);
 	g_hash_table_remove_all(w->unacked_ends);
@@ -380,7 +393,7 @@
 	}
 	json_array_clear(w->finished);
 	/* A mute worker also delays the heartbeat that announces its new instance. */
-	w->next_heartbeat = w->mute ? now_ms() + MUTE_RESTART_DELAY_MS : 0;
+	w->next_heartbeat_ms = w->mute ? now_ms() + MUTE_CRASH_SILENCE_MS : 0;
 }
 
 /* The ids of the jobs that had a task started. */
@@ -408,13 +421,13 @@
 	if (json_object_get(in, "door") != NULL)
 		second_addr_down = !json_is_true(json_object_get(in, "door"));
 	if (json_object_get(in, "drop_answers") != NULL)
-		drop_answers = json_integer_value(json_object_get(in, "drop_answers"));
+		txn_answers_to_drop = json_integer_value(json_object_get(in, "drop_answers"));
 	if (json_object_get(in, "late_orders") != NULL)
-		late_orders = json_integer_value(json_object_get(in, "late_orders"));
+		starts_to_delay = json_integer_value(json_object_get(in, "late_orders"));
 	if (json_object_get(in, "lost_holds") != NULL)
-		lost_holds = json_integer_value(json_object_get(in, "lost_holds"));
+		renewal_answers_to_drop = json_integer_value(json_object_get(in, "lost_holds"));
 	if (json_object_get(in, "lost_starts") != NULL)
-		lost_starts = json_integer_value(json_object_get(in, "lost_starts"));
+		start_answers_to_drop = json_integer_value(json_object_get(in, "lost_starts"));
 	for (guint i = 0; i < workers->len; i++) {
 		struct worker *w = workers->pdata[i];
 
@@ -463,8 +476,8 @@
 		calls++;
 		w->request = r;
 		w->prefix = xstrdup(prefix);
-		w->after = g_ascii_strtoll(after, NULL, 10);
-		w->until = now_ms() + g_ascii_strtoll(wait, NULL, 10);
+		w->after_revision = g_ascii_strtoll(after, NULL, 10);
+		w->until_ms = now_ms() + g_ascii_strtoll(wait, NULL, 10);
 		g_ptr_array_add(pending_requests, w);
 		answer_pending_requests();
 	} else {
@@ -478,7 +491,10 @@
 	free(arg);
 }
 
-/* Passes a call to the loop. Runs on a thread of the server, where the query must be read. */
+/*
+ * Passes a call to the loop. Runs on a thread of the server and copies the query, as http_query
+ * may be called only before this function returns.
+ */
 static void on_store_request(struct http_request *r, void *arg)
 {
 	void **args = xcalloc(5, sizeof(*args));
@@ -492,7 +508,10 @@
 	loop_post(loop, handle_store_call, args);
 }
 
-/* Records an attempt that was stopped or has ended; its start and earlier ones are refused. */
+/*
+ * Records an attempt that was stopped or has ended; starts of this and of earlier attempts are
+ * refused from now on.
+ */
 static void record_attempt(struct worker *w, const char *task, json_int_t attempt)
 {
 	json_int_t *old = g_hash_table_lookup(w->last_attempts, task);
@@ -514,7 +533,10 @@
 	g_ptr_array_remove(w->runs, r);
 }
 
-/* Records a violation if a task runs twice, starts after its end or exceeds the capacity. */
+/*
+ * Records a violation if the task is running on any worker already, was started after its
+ * "done" end was acknowledged, or exceeds the worker's accelerators.
+ */
 static void check_start(const struct worker *w, const char *task, const char *payload)
 {
 	char *rest;
@@ -522,8 +544,8 @@
 
 	g_ascii_strtoll(payload, &rest, 10);
 	used = g_ascii_strtoll(rest, NULL, 10);
-	g_hash_table_add(started_jobs, g_strndup(task, 16));
-	if (g_hash_table_contains(acked_tasks, task))
+	g_hash_table_add(started_jobs, g_strndup(task, JOB_ID_LEN));
+	if (g_hash_table_contains(acked_done_tasks, task))
 		record_violation("started after its end was acknowledged:", task);
 	for (guint i = 0; i < workers->len; i++) {
 		const struct worker *other = workers->pdata[i];
@@ -540,7 +562,10 @@
 		record_violation("accelerators overcommitted on worker", w->name);
 }
 
-/* Records that ends up to a number were acknowledged: their tasks must never start again. */
+/*
+ * Records that ends up to a number were acknowledged: tasks that ended as "done" must never
+ * start again.
+ */
 static void record_acked_ends(const struct worker *w, json_int_t seen)
 {
 	GHashTableIter it;
@@ -551,12 +576,15 @@
 	while (g_hash_table_iter_next(&it, &task, &number)) {
 		if ((json_int_t)GPOINTER_TO_SIZE(number) > seen)
 			continue;
-		g_hash_table_add(acked_tasks, g_strdup(task));
+		g_hash_table_add(acked_done_tasks, g_strdup(task));
 		g_hash_table_iter_remove(&it);
 	}
 }
 
-/* Starts a task; returns whether it runs now, also if it did before. */
+/*
+ * Starts a run; returns true if it runs now, also if it was running before this call. Refuses
+ * an attempt that was stopped or has ended, a low fencing token and a deadline that has passed.
+ */
 static bool run_start(struct worker *w, const json_t *in)
 {
 	const char *task = json_string_value(json_object_get(in, "task"));
@@ -584,33 +612,34 @@
 	r->accelerators = g_ascii_strtoll(accelerators, NULL, 10);
 	g_ptr_array_add(w->runs, r);
 	w->started++;
-	w->lease_until =
-		MAX(w->lease_until, json_integer_value(json_object_get(in, "deadline_ms")));
+	w->lease_until_ms =
+		MAX(w->lease_until_ms, json_integer_value(json_object_get(in, "deadline_ms")));
 	return true;
 }
 
 /* Handles a start, delaying it or dropping its answer if a fault asks for that. */
 static void worker_start(struct worker *w, struct http_request *q, const json_t *in)
 {
-	if (late_orders > 0) {
-		struct delayed_start *o = xcalloc(1, sizeof(*o));
+	if (starts_to_delay > 0) {
+		struct delayed_start *d = xcalloc(1, sizeof(*d));
 
-		late_orders--;
-		o->worker = w;
-		o->start = json_deep_copy(in);
-		o->at = now_ms() + START_DELAY_MS;
-		g_ptr_array_add(delayed_starts, o);
+		starts_to_delay--;
+		d->worker = w;
+		d->start = json_deep_copy(in);
+		d->due_ms = now_ms() + START_DELAY_MS;
+		g_ptr_array_add(delayed_starts, d);
 		http_reply(q, 500, NULL, "", 0);
 		return;
 	}
-	if (lost_starts > 0) {
-		lost_starts--;
+	if (start_answers_to_drop > 0) {
+		start_answers_to_drop--;
 		run_start(w, in);
 		return;
 	}
 	if (run_start(w, in))
 		worker_reply(w, q, 200, worker_json(w));
 	else
+		/* The reason is "old" whatever run_start refused the start for. */
 		worker_reply(w, q, 409,
 			json_pack("{s:s,s:I}", "reason", "old", "clock_ms",
 				(json_int_t)now_ms()));
@@ -620,13 +649,13 @@
 static void run_delayed_starts(void)
 {
 	for (guint i = delayed_starts->len; i > 0; i--) {
-		struct delayed_start *o = delayed_starts->pdata[i - 1];
+		struct delayed_start *d = delayed_starts->pdata[i - 1];
 
-		if (now_ms() < o->at)
+		if (now_ms() < d->due_ms)
 			continue;
-		run_start(o->worker, o->start);
-		json_decref(o->start);
-		free(o);
+		run_start(d->worker, d->start);
+		json_decref(d->start);
+		free(d);
 		g_ptr_array_remove_index(delayed_starts, i - 1);
 	}
 }
@@ -656,10 +685,11 @@
 			struct run *r = w->runs->pdata[i];
 
 			if (strcmp(r->task, task) == 0)
-				r->stop_at = now_ms() + 100;
+				r->stop_at_ms = now_ms() + STOP_DURATION_MS;
 		}
 		worker_reply(w, q, 200, worker_json(w));
 	} else {
+		/* Any other path, also /v1/pace, counts as a lease renewal, /v1/hold. */
 		struct pending_request *h = xcalloc(1, sizeof(*h));
 		json_int_t seen = json_integer_value(json_object_get(in, "last_seen"));
 
@@ -668,12 +698,12 @@
 			json_integer_value(json_array_get(json_array_get(w->finished, 0), 0)) <=
 				seen)
 			json_array_remove(w->finished, 0);
-		w->lease_until = MAX(w->lease_until,
+		w->lease_until_ms = MAX(w->lease_until_ms,
 			MIN(json_integer_value(json_object_get(in, "deadline_ms")),
 				now_ms() + LEASE_MAX_MS));
 		h->request = q;
 		h->worker = w;
-		h->until = now_ms() + json_integer_value(json_object_get(in, "wait_ms"));
+		h->until_ms = now_ms() + json_integer_value(json_object_get(in, "wait_ms"));
 		g_ptr_array_add(pending_requests, h);
 		answer_pending_requests();
 	}
@@ -717,7 +747,10 @@
 	http_client_send(client, c);
 }
 
-/* Advances runs, leases, heartbeats and long polls. */
+/*
+ * Carries out delayed starts, ends runs and store leases that are due, sends heartbeats and
+ * answers long polls.
+ */
 static void tick(void *arg)
 {
 	(void)arg;
@@ -729,22 +762,22 @@
 			struct run *r = w->runs->pdata[k - 1];
 
 			r->remaining_ms -= TICK / NSEC_PER_MSEC;
-			if (now_ms() > w->lease_until)
+			if (now_ms() > w->lease_until_ms)
 				run_end(w, r, "lapsed");
-			else if (r->stop_at != 0 && now_ms() >= r->stop_at)
+			else if (r->stop_at_ms != 0 && now_ms() >= r->stop_at_ms)
 				run_end(w, r, "stopped");
 			else if (r->remaining_ms <= 0)
 				run_end(w, r, "done");
 		}
-		if (now_ms() >= w->next_heartbeat) {
-			w->next_heartbeat = now_ms() + HEARTBEAT_PERIOD / NSEC_PER_MSEC;
+		if (now_ms() >= w->next_heartbeat_ms) {
+			w->next_heartbeat_ms = now_ms() + HEARTBEAT_PERIOD / NSEC_PER_MSEC;
 			send_heartbeat(w);
 		}
 	}
 	for (guint i = leases->len; i > 0; i--) {
 		const struct lease *l = &g_array_index(leases, struct lease, i - 1);
 
-		if (!down && now_ms() > l->until)
+		if (!down && now_ms() > l->until_ms)
 			lease_end(l->id);
 	}
 	answer_pending_requests();
@@ -797,7 +830,7 @@
 	pending_requests = g_ptr_array_new();
 	delayed_starts = g_ptr_array_new();
 	started_jobs = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-	acked_tasks = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+	acked_done_tasks = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	violations = json_array();
 	workers = g_ptr_array_new();
 	leases = g_array_new(FALSE, FALSE, sizeof(struct lease));
