--- a/packages/standin/standin-store.c
+++ b/packages/standin/standin-store.c
@@ -9,9 +9,15 @@
 
 /*
  * Test server for the key-value store. It implements the calls of etcd's v3 JSON API that the
- * product uses on top of an in-memory store. POST /control injects faults: {"down":true},
- * {"slow_ms":200}, {"drop_answers":3}, {"expire_leases":true}, {"compact":true}. GET /calls
- * returns the number of calls by kind.
+ * product uses on top of an in-memory store. GET /calls returns the number of calls by kind.
+ * POST /control injects faults; all fields are optional:
+ *
+ *   {"down":true}           every store call is answered 503; running watches are broken off
+ *   {"slow_ms":200}         every store call is delayed by 200 ms
+ *   {"drop_answers":3}      the next 3 transactions are run, and their connections are closed
+ *                           without an answer
+ *   {"expire_leases":true}  all leases expire at once
+ *   {"compact":true}        the history is compacted at once
  */
 
 #define BODY_MAX_BYTES (2u * 1024 * 1024)
@@ -31,7 +37,7 @@
 	GByteArray *body;
 };
 
-/* Send a JSON response; takes ownership of o. */
+/* Sends a JSON response; takes ownership of o. */
 static enum MHD_Result send_json(struct MHD_Connection *conn, unsigned int status, json_t *o)
 {
 	char *text = json_dumps(o, JSON_COMPACT);
@@ -46,7 +52,7 @@
 	return res;
 }
 
-/* Create a response with the header that carries the store revision. */
+/* Creates a response with the header that carries the store revision. */
 static json_t *response_with_header(int64_t revision)
 {
 	json_t *header = json_object();
@@ -55,7 +61,7 @@
 	return json_pack("{s:o}", "header", header);
 }
 
-/* Decode a base64 member to a string. */
+/* Decodes a base64 member to a string. */
 static char *decode_text_member(const json_t *o, const char *name)
 {
 	struct bytes b = {0};
@@ -82,7 +88,7 @@
 	return out;
 }
 
-/* Decode one compare of a transaction; keys takes ownership of its key. */
+/* Decodes one compare of a transaction; keys takes ownership of its key. */
 static struct store_compare decode_compare(const json_t *c, GPtrArray *keys)
 {
 	const char *target = json_string_value(json_object_get(c, "target"));
@@ -96,7 +102,7 @@
 	return out;
 }
 
-/* Decode one operation of a transaction; keys takes ownership of its key and value. */
+/* Decodes one operation of a transaction; keys takes ownership of its key and value. */
 static struct store_op decode_op(const json_t *o, GPtrArray *keys)
 {
 	const json_t *put = json_object_get(o, "request_put");
@@ -114,7 +120,7 @@
 	return op;
 }
 
-/* Run a transaction. An error of the store is reported as a failed compare. */
+/* Runs a transaction. An error of the store is reported as a failed compare. */
 static json_t *handle_txn(const json_t *in)
 {
 	const json_t *compares = json_object_get(in, "compare");
@@ -141,23 +147,23 @@
 	return out;
 }
 
-/* what is "grant" or "keepalive"; anything else revokes the lease. */
-static json_t *handle_lease(const char *what, const json_t *in)
+/* Handles a lease call: "grant" or "keepalive"; any other name revokes the lease. */
+static json_t *handle_lease(const char *call, const json_t *in)
 {
 	json_t *out = json_object();
 	int64_t id = store_json_get_int(json_object_get(in, "ID"));
-	int64_t ttl = store_json_get_int(json_object_get(in, "TTL"));
+	int64_t ttl_s = store_json_get_int(json_object_get(in, "TTL"));
 
-	if (strcmp(what, "grant") == 0) {
-		store_lease_grant(store, ttl, &id, NULL);
+	if (strcmp(call, "grant") == 0) {
+		store_lease_grant(store, ttl_s, &id, NULL);
 		store_json_set_int(out, "ID", id);
-		store_json_set_int(out, "TTL", ttl);
-	} else if (strcmp(what, "keepalive") == 0) {
+		store_json_set_int(out, "TTL", ttl_s);
+	} else if (strcmp(call, "keepalive") == 0) {
 		json_t *result = json_object();
 
-		store_lease_keepalive(store, id, &ttl, NULL);
+		store_lease_keepalive(store, id, &ttl_s, NULL);
 		store_json_set_int(result, "ID", id);
-		store_json_set_int(result, "TTL", ttl);
+		store_json_set_int(result, "TTL", ttl_s);
 		json_object_set_new(out, "result", result);
 	} else {
 		store_lease_revoke(store, id, NULL);
@@ -172,7 +178,10 @@
 	GString *out;
 };
 
-/* Append the events of one revision to the stream, then return to the content reader. */
+/*
+ * Appends the events of one revision to the stream. Returns false, which ends store_watch, so
+ * that read_watch can pass the stream on and check for faults.
+ */
 static bool append_events(
 	const struct store_event *events, size_t len, int64_t revision, void *arg)
 {
@@ -216,6 +225,7 @@
 			return MHD_CONTENT_READER_END_WITH_ERROR;
 		if (store_watch(store, w->prefix, w->from, append_events, w, &err))
 			continue;
+		/* Any failure counts as compaction; the revision in it is a placeholder. */
 		g_string_append(w->out,
 			"{\"result\":{\"canceled\":true,\"compact_revision\":\"1\"}}\n");
 	}
@@ -234,7 +244,7 @@
 	free(w);
 }
 
-/* Start a streaming watch. */
+/* Starts a streaming watch. */
 static enum MHD_Result handle_watch(struct MHD_Connection *conn, const json_t *in)
 {
 	const json_t *create = json_object_get(in, "create_request");
@@ -252,7 +262,7 @@
 	return res;
 }
 
-/* Set the injected faults, or expire leases or compact the history at once. */
+/* Sets the injected faults, or expires leases or compacts the history at once. */
 static json_t *handle_control(const json_t *in)
 {
 	const json_t *v;
@@ -273,7 +283,7 @@
 	return json_object();
 }
 
-/* Return the number of calls by kind. */
+/* Returns the number of calls by kind. */
 static json_t *handle_calls(void)
 {
 	json_t *o = json_object();
@@ -284,7 +294,7 @@
 	return o;
 }
 
-/* Map a path to its index in call_names; -1 if it is not a store call. */
+/* Maps a path to its index in call_names; -1 if it is not a store call. */
 static int call_index(const char *path)
 {
 	if (strcmp(path, "/v3/kv/range") == 0)
@@ -296,8 +306,8 @@
 	return strcmp(path, "/v3/watch") == 0 ? 3 : -1;
 }
 
-/* Consume one of the responses to drop; returns false if none are left. */
-static bool take_dropped_answer(void)
+/* Whether to drop the answer to a transaction; counts down the answers to drop. */
+static bool drop_next_answer(void)
 {
 	int64_t left = __atomic_load_n(&faults.drop_answers, __ATOMIC_RELAXED);
 
@@ -309,7 +319,7 @@
 	return false;
 }
 
-/* Handle a complete request. */
+/* Handles a complete request. */
 static enum MHD_Result dispatch(
 	struct MHD_Connection *conn, const char *path, const GByteArray *body)
 {
@@ -342,7 +352,8 @@
 	else
 		res = handle_watch(conn, in);
 	json_decref(in);
-	if (out != NULL && call == 1 && take_dropped_answer()) {
+	if (out != NULL && call == 1 && drop_next_answer()) {
+		/* MHD_NO closes the connection without a response. */
 		json_decref(out);
 		return MHD_NO;
 	}
@@ -387,7 +398,7 @@
 	*req = NULL;
 }
 
-/* usage: standin-store IP:PORT */
+/* usage: standin-store [IP:PORT]; 127.0.0.1 and a free port by default. */
 int main(int argc, char **argv)
 {
 	g_autoptr(GError) err = NULL;
