--- a/packages/standin/standin-upstream.c
+++ b/packages/standin/standin-upstream.c
@@ -10,13 +10,24 @@
 #include <unistd.h>
 
 /*
- * A fake upstream for tests: announces itself to an agent and runs tasks that only sleep. A
- * task's payload may be JSON: {"sleep_ms":N}, {"fail":true}, {"refuse":true},
- * {"ignore_stop":true}, {"tag":"..."}; the response echoes the payload. The start and the end
- * of each task are printed, so that tests can count runs.
+ * A fake upstream for tests: announces itself to an agent and runs tasks that only sleep. The
+ * start and the end of each task are printed, so that tests can count runs. A task's payload
+ * may be JSON; all fields are optional:
+ *
+ *   {"sleep_ms":N}        the task ends after N ms; the default is 0
+ *   {"fail":true}         it ends with 500 instead of 200
+ *   {"refuse":true}       it is not started and answered with 503 "not begun"
+ *   {"ignore_stop":true}  a stop is answered, but the task runs on
+ *   {"tag":"TEXT"}        TEXT is printed with its start and end; "-" by default
+ *
+ * The response to a task that runs to its end echoes the payload; a stopped task is answered
+ * with 409 "stopped".
  */
 
 #define ANNOUNCE_PERIOD_NS (NSEC_PER_SEC)
+/* From the signal to the first check for running tasks, and between checks. */
+#define DRAIN_CHECK_DELAY_NS  (300 * NSEC_PER_MSEC)
+#define DRAIN_CHECK_PERIOD_NS (100 * NSEC_PER_MSEC)
 
 struct task {
 	char *name;
@@ -25,7 +36,7 @@
 	struct http_request *request;
 	struct loop_timer *timer;
 	struct bytes payload;
-	char *type;
+	char *content_type;
 	bool ignore_stop;
 	bool fail;
 	int64_t started_at;
@@ -39,7 +50,7 @@
 	char *worker;
 	char *rack;
 	int accelerators;
-	int slots;
+	int slots; /* most tasks at once, as announced; not enforced here */
 	int cores;
 	int memory_mb;
 	bool fail_all;
@@ -50,7 +61,7 @@
 
 static struct standin standin;
 
-/* Prints an event of a task: the event, the task's name, its tag and the time. */
+/* Prints an event of a task: the event, the task's name, its tag and the loop time in ns. */
 static void print_task_event(const char *event, const struct task *t)
 {
 	printf("%s %s %s %lld\n", event, t->name, t->tag, (long long)loop_now(standin.loop));
@@ -65,7 +76,7 @@
 	free(t->name);
 	free(t->job);
 	free(t->tag);
-	free(t->type);
+	free(t->content_type);
 	bytes_clear(&t->payload);
 	free(t);
 }
@@ -75,7 +86,8 @@
 {
 	loop_timer_del(standin.loop, t->timer);
 	print_task_event(event, t);
-	http_reply(t->request, status, t->type != NULL ? t->type : "application/octet-stream",
+	http_reply(t->request, status,
+		t->content_type != NULL ? t->content_type : "application/octet-stream",
 		t->payload.data, t->payload.len);
 	g_hash_table_remove(standin.tasks, t->name);
 }
@@ -87,7 +99,7 @@
 	finish_task(t, t->fail ? 500 : 200, t->fail ? "failed" : "done");
 }
 
-/* Starts a task, or rejects it with 503. Runs on the loop. */
+/* Starts a task, or rejects it with 503. Called on the loop. */
 static void start_task(void *arg)
 {
 	struct task *t = arg;
@@ -112,29 +124,32 @@
 	t->timer = loop_timer_add(standin.loop, sleep_ms * NSEC_PER_MSEC, 0, on_task_timer, t);
 }
 
-/* A command for a task: stop, checkpoint or throttle. */
+/*
+ * A command for a task, from a call to /tasks/NAME/COMMAND: stop, checkpoint, or any other
+ * name, such as throttle, which is answered and does nothing.
+ */
 struct task_command {
 	struct http_request *request;
-	char *task;
-	char *name;
+	char *task_name;
+	char *command;
 };
 
-/* Runs a command on a task. Runs on the loop. */
+/* Carries out a command for a task. Called on the loop. */
 static void run_command(void *arg)
 {
 	struct task_command *c = arg;
-	struct task *t = g_hash_table_lookup(standin.tasks, c->task);
+	struct task *t = g_hash_table_lookup(standin.tasks, c->task_name);
 
 	if (t == NULL) {
 		http_reply_text(c->request, 404, "text/plain", "no such task\n");
-	} else if (strcmp(c->name, "stop") == 0) {
+	} else if (strcmp(c->command, "stop") == 0) {
 		http_reply_text(c->request, 200, "text/plain", "ok\n");
 		if (!t->ignore_stop) {
 			bytes_clear(&t->payload);
 			t->payload = bytes_copy("stopped\n", 8);
 			finish_task(t, 409, "stopped");
 		}
-	} else if (strcmp(c->name, "checkpoint") == 0) {
+	} else if (strcmp(c->command, "checkpoint") == 0) {
 		char state[64];
 		int len = snprintf(state, sizeof(state), "{\"ran_ms\":%lld}",
 			(long long)((loop_now(standin.loop) - t->started_at) / NSEC_PER_MSEC));
@@ -143,12 +158,12 @@
 	} else {
 		http_reply_text(c->request, 200, "text/plain", "ok\n");
 	}
-	free(c->task);
-	free(c->name);
+	free(c->task_name);
+	free(c->command);
 	free(c);
 }
 
-/* POST /tasks. */
+/* Handles a call to /tasks, with any method: posts the start of a task to the loop. */
 static void handle_task(struct http_request *r)
 {
 	struct task *t = xcalloc(1, sizeof(*t));
@@ -160,7 +175,7 @@
 	t->job = xstrdup(job != NULL ? job : "none");
 	xasprintf(&t->name, "%s-%s-%s", t->job, attempt != NULL ? attempt : "0",
 		member != NULL ? member : "0");
-	t->type = xstrdup(http_header(r, "Content-Type"));
+	t->content_type = xstrdup(http_header(r, "Content-Type"));
 	t->payload = bytes_copy(http_body(r)->data, http_body(r)->len);
 	loop_post(standin.loop, start_task, t);
 }
@@ -177,8 +192,8 @@
 		const char *slash = strrchr(path, '/');
 
 		c->request = r;
-		c->task = bytes_copy(path + 7, (size_t)(slash - path - 7)).data;
-		c->name = xstrdup(slash + 1);
+		c->task_name = bytes_copy(path + 7, (size_t)(slash - path - 7)).data;
+		c->command = xstrdup(slash + 1);
 		loop_post(standin.loop, run_command, c);
 	} else {
 		http_reply_text(r, 404, "text/plain", "no such path\n");
@@ -191,7 +206,7 @@
 	http_call_free(c);
 }
 
-/* Announces this upstream to the agent, or that it is leaving while draining. */
+/* Registers this upstream with the agent, or deregisters it if it is draining. */
 static void announce(void *arg)
 {
 	AUTOFREE char *url = NULL;
@@ -233,7 +248,7 @@
 	standin.draining = true;
 	announce(NULL);
 	loop_timer_add(
-		standin.loop, 300 * NSEC_PER_MSEC, 100 * NSEC_PER_MSEC, check_idle, NULL);
+		standin.loop, DRAIN_CHECK_DELAY_NS, DRAIN_CHECK_PERIOD_NS, check_idle, NULL);
 }
 
 static bool parse_args(int argc, char **argv, char **http)
@@ -243,7 +258,7 @@
 	struct arg_str *worker = arg_str1(NULL, "worker", "NAME", "name of the worker");
 	struct arg_str *rack = arg_str1(NULL, "rack", "NAME", "rack of the worker");
 	struct arg_int *accelerators = arg_int0(NULL, "accelerators", "N", "accelerators");
-	struct arg_int *slots = arg_int0(NULL, "slots", "N", "slots");
+	struct arg_int *slots = arg_int0(NULL, "slots", "N", "most tasks at once");
 	struct arg_int *cores = arg_int0(NULL, "cores", "N", "cores");
 	struct arg_lit *fail = arg_lit0(NULL, "fail-all", "fail every task");
 	struct arg_end *end = arg_end(8);
