--- a/packages/protocol/protocol.h
+++ b/packages/protocol/protocol.h
@@ -3,7 +3,12 @@
 
 #include "base.h"
 
-/* Limits on a job's fields: lengths in bytes, and the number of accelerators. */
+/*
+ * Limits on a job's fields: lengths in bytes, and the number of accelerators. A key, a
+ * decoded payload and the accelerators may reach their limit; a name must be shorter than
+ * JOB_NAME_MAX, a payload that is sent as plain text shorter than JOB_PAYLOAD_MAX. JOB_ID_MAX
+ * is only used doubled: the id in a request must be shorter than 2 * JOB_ID_MAX.
+ */
 #define JOB_ID_MAX	     64
 #define JOB_NAME_MAX	     64
 #define JOB_KEY_MAX	     128
@@ -33,9 +38,11 @@
 
 /*
  * A job as its caller submitted it. key is the caller's idempotency key and fingerprint the
- * digest of the request body, which detects reuse of a key for another request. durable means
- * that the job is recorded in the store before it is accepted. deadline_ms is the time left
- * when the message is sent; submitted_wall_ms is wall-clock time.
+ * digest of the request body, which detects reuse of a key for another request. priority is
+ * that of the job's class: 0 goes first in the queue, a higher number later. durable means
+ * that the job is recorded in the store before it is accepted. run_time_ms is the caller's
+ * estimate of the run time; it is no limit. deadline_ms is the time left when the message is
+ * sent; submitted_wall_ms is wall-clock time.
  */
 struct job_spec {
 	char *id;
@@ -60,7 +67,14 @@
 	struct bytes payload;
 };
 
-/* How a job ended, and the upstream's response (status, type, body) if there was one. */
+/*
+ * How a job ended, and the upstream's response (status, type, body) if there was one. outcome
+ * is an enum outcome. error is an enum error_kind, which has no value for "no error": it is
+ * only valid if the job ended with another outcome than OUTCOME_DONE. not_run means that no
+ * attempt has run any part of the job. It is independent of outcome: a cancelled job may not
+ * have run, and a job that ends with OUTCOME_NOT_RUN because of its deadline may have run in an
+ * earlier attempt.
+ */
 struct job_result {
 	uint32_t outcome;
 	uint32_t error;
@@ -87,7 +101,12 @@
 	uint64_t term;
 };
 
-/* Reply to a hello; term 0 means that the peer is not a coordinator. */
+/*
+ * Reply to a hello; term 0 means that the peer is not a coordinator. config_revision, here and
+ * in the other messages, is the number of the last edit of the configuration (config_snapshot
+ * in state.h), not a revision of the store. lease_ms and grace_ms are sent, but no receiver
+ * reads them.
+ */
 struct msg_welcome {
 	uint64_t term;
 	char *cell;
@@ -97,7 +116,11 @@
 	uint32_t grace_ms;
 };
 
-/* Capacity and status of an agent's upstream; sent when they change. */
+/*
+ * Capacity and status of an agent's upstream; sent when they change. The smaller of slots and
+ * connections is the most members that can be live on the upstream at once; an upstream that
+ * announces no connections gets as many as it has slots.
+ */
 struct msg_report {
 	uint64_t term;
 	char *worker;
@@ -144,7 +167,10 @@
 	uint32_t members_len;
 };
 
-/* Heartbeat with the usage that the upstream last reported. */
+/*
+ * Heartbeat of an agent. members is the number of live members; it and busy_accelerators are
+ * the agent's own counts, while usage_percent is what the upstream last reported.
+ */
 struct msg_beat {
 	uint64_t term;
 	uint32_t members;
@@ -152,6 +178,7 @@
 	uint32_t usage_percent;
 	uint64_t config_revision;
 };
+/* Reply to a heartbeat. grace_ms is not read; successors is neither set nor read. */
 struct msg_beat_ack {
 	uint64_t term;
 	uint64_t config_revision;
@@ -159,7 +186,10 @@
 	char *successors;
 };
 
-/* Reserves capacity for a member; with start set, a single member starts at once. */
+/*
+ * Reserves capacity for a member. start is set if the job has no other members; the member then
+ * starts at once, without a msg_start.
+ */
 struct msg_reserve {
 	uint64_t term;
 	struct job_spec spec;
@@ -201,8 +231,9 @@
 };
 
 /*
- * How one member of a job ended. MEMBER_END_LOST is set by the coordinator: the agent is gone
- * and the member may have started.
+ * How one member of a job ended. MEMBER_END_UNKNOWN is reported by the agent: its call to the
+ * upstream failed after the request may have been sent. MEMBER_END_LOST is set by the
+ * coordinator: the agent is gone and the member may have started.
  */
 enum member_end {
 	MEMBER_END_DONE,
@@ -228,7 +259,13 @@
 	uint32_t attempt;
 };
 
-/* Heartbeat between agents: from a gang's members to member 0, and its replies. */
+/*
+ * Heartbeat between the agents of a gang. The agents of the members other than 0 send it to the
+ * agent of member 0 while their member runs or after it has completed: alive is always true,
+ * and done tells that the member has completed. The agent of member 0 replies with the same
+ * message, in which it only sets alive: whether member 0 is reserved, running or completed. If
+ * it is not, the receiver of the reply stops its running member.
+ */
 struct msg_gang_beat {
 	char *job;
 	uint32_t attempt;
@@ -239,7 +276,8 @@
 
 /*
  * Entry to coordinator. A job that was sent before is marked as such, since a coordinator of
- * this or an earlier term may have it already; last_term is the term it was last sent to.
+ * this or an earlier term may have it already; last_term is the term it was last sent to. wait
+ * means that the entry waits for the job's result, not only for its acceptance.
  */
 struct msg_submit {
 	struct job_spec spec;
@@ -248,9 +286,10 @@
 	bool wait;
 };
 /*
- * Coordinator to entry. accepted_only means that the job is accepted but has not ended.
- * returned means that a coordinator about to stop hands the job back, which no agent was told
- * of; the next coordinator receives it as a new job.
+ * Coordinator to entry, in response to a submission or to a query for a result. request is the
+ * id of that query, 0 in the response to a submission. accepted_only means that the job is
+ * accepted but has not ended. returned means that the coordinator is about to stop and hands
+ * the job back. No agent has received the job, so the next coordinator takes it as a new one.
  */
 struct msg_answer {
 	char *job;
@@ -271,6 +310,7 @@
 	char *arg;
 	char *org;
 };
+/* error is an enum error_kind, valid only if failed is set; json is then the detail text. */
 struct msg_reply {
 	uint64_t request;
 	uint32_t error;
@@ -278,7 +318,11 @@
 	char *json;
 };
 
-/* Load of a cell, for the entries. oldest_queued_ms is the age of the oldest queued job. */
+/*
+ * Load of a cell, for the entries. largest_worker and largest_rack are the most free
+ * accelerators on one worker and in one rack; as in free_accelerators, draining and quarantined
+ * workers don't count. oldest_queued_ms is the age of the oldest queued job.
+ */
 struct msg_summary {
 	uint64_t term;
 	char *cell;
