--- a/packages/state/state.h
+++ b/packages/state/state.h
@@ -7,10 +7,21 @@
 
 #include <jansson.h>
 
+/*
+ * Prefix of all keys in a struct store. Those below "live/" are the keys that the entries
+ * watch: the head of the configuration, the term and lease of each cell, and a key of each
+ * running entry. Not all of them are attached to a lease.
+ */
 #define STORE_PREFIX	"/damaskpath/"
 #define STORE_VALUE_MAX (1024 * 1024)
 
-/* store.c: client interface of the key-value store. Calls block and are thread-safe. */
+/*
+ * store.c: client interface of the key-value store (etcd or in memory) of all daemons but the
+ * workload ones, which use kv.h. Calls block and are thread-safe. ERR_STORE_DOWN
+ * means that the store has not executed the call, ERR_STORE_UNSURE that it may have: a write
+ * may be applied or not. A read whose response is malformed also fails with ERR_STORE_UNSURE.
+ * (ERR_UNKNOWN_OUTCOME is about the outcome of a job, not of a store call.)
+ */
 struct store_kv {
 	char *key;
 	struct bytes value;
@@ -55,8 +66,11 @@
 	struct store_kv kv;
 };
 /*
- * Receives the events of one revision. It is also called periodically with NULL events. The
- * watch ends when it returns false.
+ * Receives the next events. The embedded store passes the events of one revision and that
+ * revision; the etcd client passes the events of one response and the revision in the
+ * response's header, which may be later than theirs (see mod_revision). It is also called
+ * periodically with NULL events; revision means nothing then. The watch ends when it returns
+ * false.
  */
 typedef bool store_watch_fn(
 	const struct store_event *events, size_t len, int64_t revision, void *arg);
@@ -90,7 +104,10 @@
 	STORE_FAULT_NONE,
 	/* Fail without running the call. */
 	STORE_FAULT_NOT_APPLIED,
-	/* Run the call, then report that its response was lost. */
+	/*
+	 * Run the call, then fail with ERR_STORE_UNSURE as if its response was lost. Ranges and
+	 * watches don't run and fail as with STORE_FAULT_NOT_APPLIED.
+	 */
 	STORE_FAULT_RESPONSE_LOST
 };
 /* Selects the fault for a call: "range", "txn", "grant", "keepalive", "revoke" or "watch". */
@@ -107,13 +124,18 @@
 void store_json_set_int(json_t *o, const char *key, int64_t v);
 
 /* document.c: the cluster configuration document. Durations are in nanoseconds. */
-#define DOC_CLASS_PRIORITY_MAX 9
+#define DOC_CLASS_PRIORITY_MAX 9 /* goes last in the queue; 0 goes first */
 
 struct doc_location {
 	char *section;
 	int line;
 	int column;
 };
+/*
+ * A class of jobs. start_within is parsed and checked, but not used. queue_max limits the jobs
+ * of one organisation in this class that have not ended, running ones included; 0 means no
+ * limit. The scheduler counts the jobs of all classes with the same priority together.
+ */
 struct doc_class {
 	char *name;
 	uint32_t priority;
@@ -129,6 +151,7 @@
 	struct doc_location where;
 	STAILQ_ENTRY(doc_guarantee) entry;
 };
+/* An organisation. index is its position in the document; it is set, but not used. */
 struct doc_org {
 	char *name;
 	char *team;
@@ -154,6 +177,12 @@
 	uint32_t accelerators;
 	STAILQ_ENTRY(doc_cell) entry;
 };
+/*
+ * The whole document. number is that of its last edit, see config_snapshot. weight_completion,
+ * the key "completion_weight", is from 0 to 1: the higher it is, the further short jobs go
+ * ahead of long ones in the queue (it scales the estimated run time in a job's place).
+ * queue_max limits the jobs of one organisation that have not ended, running ones included.
+ */
 struct doc {
 	uint64_t number;
 	int64_t grace;
@@ -169,9 +198,9 @@
 };
 
 /*
- * The text of one section, named "cluster" or "teams/NAME". number identifies the edit that
- * wrote it. first_line and indent give the position of the text in its source file, so that
- * problems are reported with the line and column of that file.
+ * The text of one section, named "cluster" or "teams/NAME". number is that of the edit that
+ * wrote it, see config_snapshot. first_line and indent give the position of the text in its
+ * source file, so that problems are reported with the line and column of that file.
  */
 struct doc_section {
 	char *name;
@@ -180,6 +209,7 @@
 	int first_line;
 	int indent;
 };
+/* A problem in a document. rule is the message for the reader, such as "the key is missing". */
 struct doc_problem {
 	char *section;
 	int line;
@@ -219,26 +249,34 @@
 	uint32_t accelerators;
 	enum adjacency adjacency;
 };
+/* Accelerators of one worker that are allocated to a shape, which may take several workers. */
 struct pack_allocation {
 	uint32_t shape;
 	uint32_t worker;
 	uint32_t accelerators;
 };
 bool pack_one(const struct pack_shape *shape, uint32_t index, struct pack_worker *workers,
-	size_t workers_len, GArray *pieces);
+	size_t workers_len, GArray *allocations);
 size_t pack_all(const struct pack_shape *shapes, size_t shapes_len, struct pack_worker *workers,
-	size_t workers_len, GArray *pieces, uint32_t *first_failed);
+	size_t workers_len, GArray *allocations, uint32_t *first_failed);
 
 /* document-check.c */
 void doc_check(const struct doc *d, struct doc_problems *problems);
 
-/* config-store.c: the configuration document, stored as one key per section. */
+/*
+ * config-store.c: the configuration document, stored as one key per section. Edits are numbered
+ * from 1 across all sections. number is that of the last edit; messages carry it as
+ * config_revision. head_revision is the store revision of the head key, an unrelated number.
+ */
 struct config_snapshot {
 	GPtrArray *sections;
 	int64_t head_revision;
 	uint64_t number;
 };
-/* Replaces a section. base is the number of the edited version; 0 for a new section. */
+/*
+ * Replaces a section. base is the number of the edit that wrote the text that is replaced; 0
+ * for a new section.
+ */
 struct config_edit {
 	const char *section;
 	const char *text;
@@ -258,7 +296,9 @@
 
 /*
  * cell-term.c: leader election for the coordinator of a cell. held tells whether the lease key
- * exists, roster holds the names of the cell's workers.
+ * exists. roster lists the incarnations of the cell's agents, formatted by coord_roster:
+ * "NAME/INCARNATION,-NAME/INCARNATION@WALL_MS,...", where a minus sign marks one that has died.
+ * The roster of a member_record (protocol.h) is another list.
  */
 struct cell_term {
 	uint64_t term;
@@ -279,7 +319,10 @@
 bool cell_term_release(struct store *s, struct cell_term *t, GError **err);
 void cell_term_clear(struct cell_term *t);
 
-/* job-store.c: persistent records of accepted jobs. */
+/*
+ * job-store.c: persistent records of accepted jobs. placed lists the agents of the attempt as
+ * "NAME/INCARNATION,...", with the incarnation in hex.
+ */
 struct job_record {
 	struct job_spec spec;
 	uint32_t attempt;
