--- a/packages/state/kv.h
+++ b/packages/state/kv.h
@@ -4,7 +4,9 @@
 #include "base.h"
 
 /*
- * Asynchronous client of the key-value store. Each call invokes its callback exactly once, on
+ * Asynchronous client of the platform's key-value store, used by the workload daemons (wl-*.c)
+ * and implemented in platform/pf-store.c. The other daemons use another store through the
+ * blocking client in state.h (struct store). Each call invokes its callback exactly once, on
  * the event loop. The result is valid only during the callback.
  */
 struct kv;
@@ -15,11 +17,14 @@
 	KV_OK,
 	/* A condition failed and nothing was written. items hold the current values. */
 	KV_CONFLICT,
-	/* The requested key, lease or history does not exist. */
+	/* The key or lease does not exist, or the revision to watch from has been compacted. */
 	KV_NOT_FOUND,
 	/* The store rejected the call without executing it. */
 	KV_REFUSED,
-	/* No usable response: a write may be applied already, or seconds later. */
+	/*
+	 * No usable response: a write may be applied already, or seconds later. The same as
+	 * ERR_STORE_UNSURE in state.h.
+	 */
 	KV_OUTCOME_UNKNOWN
 };
 const char *kv_status_name(enum kv_status s);
@@ -42,7 +47,10 @@
 	bool has_more;
 	int64_t lease;
 	int64_t ttl_ms;
-	/* Loop time at which the call was sent; what the result proves held after that. */
+	/*
+	 * Loop time at which the call was sent. The store executed the call at this time or
+	 * later, so a lease that it renewed lasts at least until ttl_ms after this time.
+	 */
 	int64_t sent;
 };
 typedef void kv_callback(const struct kv_result *r, void *arg);
@@ -58,7 +66,8 @@
 	size_t len;
 	int64_t lease;
 };
-#define KV_TXN_MAX 32 /* conditions, writes and removals per transaction */
+/* Most conditions, writes and removals of a transaction, all three together. */
+#define KV_TXN_MAX 32
 struct kv_txn {
 	struct kv_condition expect[KV_TXN_MAX];
 	size_t expect_len;
@@ -71,16 +80,22 @@
 };
 
 enum kv_consistency {
+	/* Linearizable: returns the latest committed data. */
 	KV_READ_EXACT,
-	/* Cheaper, but may return data that is seconds old. */
+	/*
+	 * Answered by any replica of the store without asking the others, so cheaper for the
+	 * store, but the data may be seconds old. Never goes through another process.
+	 */
 	KV_READ_STALE
 };
 
 void kv_get(
 	struct kv *kv, const char *key, enum kv_consistency how, kv_callback *fn, void *arg);
+/* Lists one page of the keys with a prefix; after is the previous page's last key or NULL. */
 void kv_list(struct kv *kv, const char *prefix, const char *after, enum kv_consistency how,
 	kv_callback *fn, void *arg);
-void kv_watch(struct kv *kv, const char *prefix, int64_t after, int64_t wait_ms,
+/* Waits up to wait_ms for changes later than after_revision. */
+void kv_watch(struct kv *kv, const char *prefix, int64_t after_revision, int64_t wait_ms,
 	kv_callback *fn, void *arg);
 void kv_commit(struct kv *kv, const struct kv_txn *t, kv_callback *fn, void *arg);
 void kv_lease_grant(struct kv *kv, int64_t ttl_ms, kv_callback *fn, void *arg);
@@ -88,7 +103,10 @@
 void kv_lease_revoke(struct kv *kv, int64_t lease, kv_callback *fn, void *arg);
 /* Number of calls in flight; a process waits for them before it exits. */
 unsigned int kv_calls_in_flight(const struct kv *kv);
-/* Whether calls go through another process because the store does not serve this one. */
+/*
+ * Whether key reads and transactions now take the detour: another process relays them to the
+ * store, because the store has recently refused this process's calls or left them unanswered.
+ */
 bool kv_via_peer(const struct kv *kv);
 /*
  * Nanoseconds for which calls have been in flight without a response from the store to any of
