--- a/packages/state/store-embedded.c
+++ b/packages/state/store-embedded.c
@@ -7,7 +7,8 @@
 #define HISTORY_EVENTS_MAX 4096
 #define WATCH_POLL_NS	   (200 * NSEC_PER_MSEC)
 
-struct store_history {
+/* One event and the revision that it belongs to. */
+struct store_history_entry {
 	int64_t revision;
 	struct store_event event;
 };
@@ -32,7 +33,7 @@
 	free(p);
 }
 
-static void free_history_entry(struct store_history *h)
+static void free_history_entry(struct store_history_entry *h)
 {
 	store_kv_clear(&h->event.kv);
 	free(h);
@@ -70,7 +71,7 @@
 void embedded_destroy(struct store *s)
 {
 	struct store_embedded *e = &s->embedded;
-	struct store_history *h;
+	struct store_history_entry *h;
 
 	while ((h = g_queue_pop_head(&e->history)) != NULL)
 		free_history_entry(h);
@@ -83,7 +84,7 @@
 /* Append an event to the bounded history and wake the watches. */
 static void record_event(struct store_embedded *e, bool deleted, const struct store_kv *kv)
 {
-	struct store_history *h = xcalloc(1, sizeof(*h));
+	struct store_history_entry *h = xcalloc(1, sizeof(*h));
 
 	h->revision = e->revision;
 	h->event.deleted = deleted;
@@ -308,7 +309,7 @@
 	int64_t at = 0;
 
 	for (GList *l = e->history.head; l != NULL; l = l->next) {
-		const struct store_history *h = l->data;
+		const struct store_history_entry *h = l->data;
 		struct store_event ev = h->event;
 
 		if (h->revision < *from || !g_str_has_prefix(h->event.kv.key, prefix))
@@ -387,7 +388,7 @@
 /* Compact the history up to the current revision. */
 void store_embedded_compact(struct store *s)
 {
-	struct store_history *h;
+	struct store_history_entry *h;
 
 	pthread_mutex_lock(&s->embedded.lock);
 	while ((h = g_queue_pop_head(&s->embedded.history)) != NULL)
--- a/packages/state/store-private.h
+++ b/packages/state/store-private.h
@@ -11,7 +11,7 @@
 	STORE_KIND_FAULTY
 };
 
-struct store_history;
+struct store_history_entry;
 
 /* In-memory store; lock protects everything but clock. */
 struct store_embedded {
@@ -21,7 +21,7 @@
 	pthread_cond_t watch_cond;
 	GTree *keys;
 	GHashTable *leases;
-	/* Events newer than compacted_revision, oldest first. */
+	/* The events (store_history_entry) newer than compacted_revision, oldest first. */
 	GQueue history;
 	int64_t revision;
 	int64_t compacted_revision;
