--- a/packages/state/config-store.c
+++ b/packages/state/config-store.c
@@ -7,7 +7,8 @@
 /*
  * The head key lists each section with the number of the edit that wrote it. An edit writes the
  * head, the section and an audit entry in one transaction that is conditional on the head being
- * unchanged, so that the edit is validated against the document it is applied to.
+ * unchanged, so that the edit is validated against the document it is applied to. The head key
+ * is below "live/", see STORE_PREFIX.
  */
 
 #define HEAD_KEY	  STORE_PREFIX "live/head"
@@ -190,8 +191,10 @@
 }
 
 /*
- * Parse the document with the edit applied and, if it has a cluster section, check it as a
- * whole. Returns false if there are problems.
+ * Parse the document with the edit applied. If the document had a cluster section before the
+ * edit, also check the rules that span sections; so the edit that adds the cluster section is
+ * not checked against them, and the edit that removes it is. Returns false if there are
+ * problems.
  */
 static bool check_edit(const struct config_snapshot *c, const struct config_edit *edit,
 	struct doc_problems *problems)
@@ -323,10 +326,10 @@
 /*
  * Replace a section; empty text removes it. Edits that conflict only with edits of other
  * sections are retried. Errors:
- *   ERR_CONFLICT: the section is no longer at version edit->base; *current is set to the
- *     current version
+ *   ERR_CONFLICT: the section was last written by another edit than edit->base; *current is
+ *     set to its number and text
  *   ERR_INVALID: the resulting document is not valid; problems lists the reasons
- *   ERR_STORE_UNSURE: the edit may have been written
+ *   ERR_STORE_UNSURE: the edit may have been written or not
  *   ERR_OVERLOAD: still conflicting after PUT_ATTEMPTS_MAX attempts
  */
 bool config_put(struct store *s, const struct config_edit *edit, uint64_t *number,
@@ -365,6 +368,7 @@
 			break;
 	}
 	config_snapshot_clear(&c);
+	/* error_set keeps an error that is set above. */
 	if (!done)
 		error_set(err, ERR_OVERLOAD, "too many edits at once");
 	return done;
