--- a/packages/state/job-store.c
+++ b/packages/state/job-store.c
@@ -5,7 +5,11 @@
 
 #define JOBS_KEY_PREFIX STORE_PREFIX "jobs/"
 #define TXN_OPS_MAX	100
-#define TXN_BYTES_MAX	(768 * 1024)
+/*
+ * A transaction takes no more records once the values of its records have this size. It can
+ * exceed the size by a whole record; keys are not counted.
+ */
+#define TXN_BYTES_THRESHOLD (768 * 1024)
 
 static const struct field job_record_list[] = {
 	{.kind = FIELD_STRUCT,
@@ -67,9 +71,10 @@
 }
 
 /*
- * Write or remove records in as few transactions as the store's limits allow. Each transaction
- * is fenced by the cell's term; *term_current is false if a later coordinator has taken over.
- * Writes are idempotent, so the caller can retry after a lost response.
+ * Write or remove records, in transactions of up to TXN_OPS_MAX records, or fewer once they
+ * reach TXN_BYTES_THRESHOLD. Each transaction is fenced by the cell's term; *term_current is
+ * false if a later coordinator has taken over. Writes are idempotent, so the caller can retry
+ * after a lost response.
  */
 bool job_store_write(struct store *s, const char *cell, const struct cell_term *term,
 	const struct job_write *writes, size_t len, bool *term_current, GError **err)
@@ -87,7 +92,8 @@
 		size_t n = 0;
 		size_t bytes = 0;
 
-		while (n < TXN_OPS_MAX && next < len && (n == 0 || bytes < TXN_BYTES_MAX)) {
+		while (n < TXN_OPS_MAX && next < len &&
+			(n == 0 || bytes < TXN_BYTES_THRESHOLD)) {
 			const struct job_write *w = &writes[next++];
 
 			xasprintf(
