--- a/packages/state/document-parse.c
+++ b/packages/state/document-parse.c
@@ -187,7 +187,10 @@
 	}
 }
 
-/* Return the text of a key and move the position to it; NULL with a problem. */
+/*
+ * Return the text of a key and move the position to it. Adds a problem and returns NULL if the
+ * key is not a scalar.
+ */
 static const char *key_text(struct parser *p, struct fy_node_pair *pair)
 {
 	struct fy_node *key = fy_node_pair_key(pair);
@@ -509,7 +512,7 @@
 	parse_keys(p, root, keys, ARRAY_LEN(keys), t);
 }
 
-/* Build a YAML document; NULL with a problem on a syntax error. */
+/* Build a YAML document. Adds a problem and returns NULL on a syntax error. */
 static struct fy_document *build_yaml(struct parser *p, const char *text)
 {
 	struct fy_diag_cfg dc;
@@ -584,7 +587,8 @@
 
 /*
  * Copy the lines from first up to, not including, end (-1 for the rest of the text), with up to
- * indent leading spaces removed from each.
+ * indent leading spaces removed from each. Lines count from 0, as in libfyaml's marks and in
+ * all functions below; only doc_section.first_line counts from 1.
  */
 static char *slice_lines(const char *text, int first, int end, int indent)
 {
@@ -619,9 +623,9 @@
 }
 
 /*
- * Add a pair's value as a section. Block-style text is copied line by line up to next_line (-1
- * for the end of the file), so that positions in the section map to those in the file. Values
- * in flow style or on the line of their key are emitted anew.
+ * Add a pair's value as a section. Block-style text is copied up to, not including, the line
+ * next_line (-1 for the end of the file), so that positions in the section map to those in the
+ * file. Values in flow style or on the line of their key are emitted anew.
  */
 static void add_section(GPtrArray *sections, const char *text, const char *name,
 	struct fy_node_pair *pair, int next_line)
