--- a/packages/state/shape-pack.c
+++ b/packages/state/shape-pack.c
@@ -12,12 +12,13 @@
 
 /* Allocate accelerators of a worker to a shape. */
 static void allocate(struct pack_worker *workers, uint32_t worker, uint32_t n, uint32_t shape,
-	GArray *pieces)
+	GArray *allocations)
 {
-	struct pack_allocation piece = {.shape = shape, .worker = worker, .accelerators = n};
+	struct pack_allocation allocation = {
+		.shape = shape, .worker = worker, .accelerators = n};
 
 	workers[worker].free -= n;
-	g_array_append_val(pieces, piece);
+	g_array_append_val(allocations, allocation);
 }
 
 /* Return the worker with the fewest free accelerators, but at least n; -1 for none. */
@@ -48,7 +49,7 @@
  * best. The caller has checked that n are free.
  */
 static void allocate_across_workers(struct pack_worker *workers, size_t len, int rack,
-	uint32_t n, uint32_t shape, GArray *pieces)
+	uint32_t n, uint32_t shape, GArray *allocations)
 {
 	while (n > 0) {
 		int best = -1;
@@ -69,14 +70,16 @@
 					best = (int)i;
 			}
 		}
-		allocate(workers, (uint32_t)best, count, shape, pieces);
+		allocate(workers, (uint32_t)best, count, shape, allocations);
 		n -= count;
 	}
 }
 
-/* Allocate one shape and append its pieces; false, without a change, where it doesn't fit. */
+/*
+ * Allocate one shape and append its allocations; false, without a change, where it doesn't fit.
+ */
 bool pack_one(const struct pack_shape *shape, uint32_t index, struct pack_worker *workers,
-	size_t workers_len, GArray *pieces)
+	size_t workers_len, GArray *allocations)
 {
 	int best = best_fit_worker(workers, workers_len, shape->accelerators);
 	uint32_t best_free = 0;
@@ -84,7 +87,7 @@
 	int rack = -1;
 
 	if (best >= 0) {
-		allocate(workers, (uint32_t)best, shape->accelerators, index, pieces);
+		allocate(workers, (uint32_t)best, shape->accelerators, index, allocations);
 		return true;
 	}
 	if (shape->adjacency == ADJACENCY_WORKER)
@@ -100,7 +103,8 @@
 	}
 	if (rack < 0 && (shape->adjacency == ADJACENCY_RACK || total < shape->accelerators))
 		return false;
-	allocate_across_workers(workers, workers_len, rack, shape->accelerators, index, pieces);
+	allocate_across_workers(
+		workers, workers_len, rack, shape->accelerators, index, allocations);
 	return true;
 }
 
@@ -123,7 +127,7 @@
  * in packing order that does not.
  */
 size_t pack_all(const struct pack_shape *shapes, size_t shapes_len, struct pack_worker *workers,
-	size_t workers_len, GArray *pieces, uint32_t *first_failed)
+	size_t workers_len, GArray *allocations, uint32_t *first_failed)
 {
 	GArray *order = g_array_sized_new(FALSE, FALSE, sizeof(uint32_t), (guint)shapes_len);
 	size_t placed = 0;
@@ -134,7 +138,7 @@
 	for (guint i = 0; i < order->len; i++) {
 		uint32_t at = g_array_index(order, uint32_t, i);
 
-		if (pack_one(&shapes[at], at, workers, workers_len, pieces))
+		if (pack_one(&shapes[at], at, workers, workers_len, allocations))
 			placed++;
 		else if (placed == i)
 			*first_failed = at;
