--- a/packages/state/cell-term.c
+++ b/packages/state/cell-term.c
@@ -8,7 +8,7 @@
  * Leader election for a cell uses two keys. "term" is persistent and authoritative; it is only
  * replaced by compare-and-swap with a higher term. "lease" is attached to a store
  * lease. It only shows that the term is held; once it is gone, another agent may try to acquire
- * the next term.
+ * the next term. Both are below "live/", see STORE_PREFIX.
  */
 
 #define CELL_PREFIX   STORE_PREFIX "live/cells/"
@@ -248,7 +248,7 @@
 	return ok;
 }
 
-/* Save the names of the cell's workers, if the term is unchanged. */
+/* Save the list of the cell's agents (see struct cell_term), if the term is unchanged. */
 bool cell_term_save_roster(struct store *s, const char *cell, struct cell_term *t,
 	const char *roster, GError **err)
 {
