--- a/packages/state/document.c
+++ b/packages/state/document.c
@@ -5,8 +5,8 @@
 #include <string.h>
 
 #define GRACE_DEFAULT_NS	  (5 * NSEC_PER_SEC)
-#define COMPLETION_WEIGHT_DEFAULT 0.5 /* from 0 to 1 */
-#define QUEUE_MAX_DEFAULT_JOBS	  2000
+#define COMPLETION_WEIGHT_DEFAULT 0.5  /* from 0 to 1, see weight_completion */
+#define QUEUE_MAX_DEFAULT_JOBS	  2000 /* of one organisation */
 #define PAYLOAD_MAX_DEFAULT_BYTES (256 * 1024)
 
 /* Create a document with the default settings and empty lists. */
