--- a/packages/state/store-etcd.c
+++ b/packages/state/store-etcd.c
@@ -53,6 +53,7 @@
 			"store: unexpected HTTP status %d", c->status);
 	else
 		response = json_loadb(c->answer.data, c->answer.len, 0, NULL);
+	/* error_set keeps an error that is set above. */
 	if (response == NULL)
 		error_set(err, ERR_STORE_UNSURE, "store: response is not valid JSON");
 	http_call_free(c);
