--- a/packages/state/state.h
+++ b/packages/state/state.h
@@ -17,9 +17,9 @@
 
 /*
  * store.c: client interface of the key-value store (etcd or in memory) of all daemons but the
- * workload ones, which use kv.h. Calls block and are thread-safe. ERR_STORE_DOWN
- * means that the store has not executed the call, ERR_STORE_UNSURE that it may have: a write
- * may be applied or not. A read whose response is malformed also fails with ERR_STORE_UNSURE.
+ * workload ones, which use kv.h. Calls block and are thread-safe. ERR_STORE_DOWN means that the
+ * store has not executed the call, ERR_STORE_UNSURE that it may have: a write may be applied or
+ * not. A read whose response is malformed also fails with ERR_STORE_UNSURE.
  * (ERR_UNKNOWN_OUTCOME is about the outcome of a job, not of a store call.)
  */
 struct store_kv {
