--- a/tests/unit/test-workload.c
+++ b/tests/unit/test-workload.c
@@ -13,7 +13,7 @@
 struct fixture {
 	struct wl *wl;
 	struct wl_config *config;
-	int64_t now;
+	int64_t now; /* monotonic time; also passed as the wall clock */
 	unsigned int starts;
 	unsigned int stops;
 	uint64_t ordinal;
@@ -72,6 +72,10 @@
 	}
 }
 
+/*
+ * Adds a queue. Its jobs should complete within stretch times their estimated critical path
+ * plus target_ms.
+ */
 static void add_queue(struct fixture *f, const char *name, uint32_t priority, double stretch)
 {
 	struct wl_queue *q = xcalloc(1, sizeof(*q));
@@ -92,7 +96,7 @@
 	const struct wl_limits limits = {.stop_max = 500 * MS,
 		.gang_wait = 3 * SEC,
 		.remote_penalty = 3,
-		.restore = 500 * MS,
+		.restore = 500 * MS, /* to resume from a checkpoint */
 		.silence_max = 10 * SEC,
 		.reclaim_max = 3 * SEC,
 		.retention = 100 * SEC};
@@ -136,7 +140,7 @@
 		.cores_m = 32000,
 		.memory_mb = 64000,
 		.accelerators = 8,
-		.covers = f->ordinal,
+		.covers = f->ordinal, /* the report reflects all starts sent so far */
 		.runs = runs,
 		.runs_len = runs_len,
 		.ends = ends,
@@ -413,9 +417,10 @@
 }
 
 /*
- * A start gets no answer because the agent restarted, and the worker executes it late. If the
- * coordinator took the unlisted task for ended, it would start it twice. Until the start is
- * answered, the task must not start again and its resources stay allocated.
+ * A start gets no answer because the agent restarted, and the next report doesn't list the run.
+ * The worker may still execute the start late, so a second start could make the task run twice.
+ * The scheduler sends a stop instead. Until the agent answers the start, the task must not
+ * start again and its resources stay allocated.
  */
 static void test_unanswered_start(void)
 {
@@ -423,6 +428,7 @@
 	struct wl_answer_note answer = {.life = (char *)"w1@1",
 		.task = (char *)"0000000000000001.0.0.0",
 		.attempt = 1,
+		/* Also the agent's answer once the stop ensures that the start can't run. */
 		.answer = WL_ANSWER_REFUSED_OTHER};
 
 	fixture_init(&f);
@@ -483,8 +489,8 @@
 }
 
 /*
- * Checkpoints that workers report are stored while the runs go on, so that they survive a power
- * loss of all VMs.
+ * A checkpoint that a worker reports is part of the job's progress, which becomes due for
+ * storing while the run goes on. Once stored, it survives a power loss of all VMs.
  */
 static void test_checkpoints_stored(void)
 {
@@ -533,7 +539,7 @@
 		.memory_mb = 64000,
 		.draining = leaves_in_ms > 0,
 		.leaves_in_ms = leaves_in_ms,
-		.covers = f->ordinal,
+		.covers = f->ordinal, /* the report reflects all starts sent so far */
 		.runs = &run,
 		.runs_len = 1};
 
@@ -559,8 +565,8 @@
 
 /*
  * A run that ends before its draining worker leaves is not stopped. Its remaining time must be
- * computed from the time of its last report: set against the current time, the run seems to
- * slow down between reports.
+ * estimated from the run time at its last report. With the run time up to now, the same
+ * percentage would give a longer estimate the older the report is.
  */
 static void test_draining_run_ends_in_time(void)
 {
@@ -670,20 +676,23 @@
 		test_placement_stored_before_start);
 	CU_add_test(s, "headroom for urgent work", test_headroom);
 	CU_add_test(s, "a guarantee is reclaimed", test_reclaim);
-	CU_add_test(s, "an urgent job waits for room that comes in time",
+	CU_add_test(s, "an urgent job waits for a run that is about to end",
 		test_waits_for_ending_run);
 	CU_add_test(s, "resources are reserved for a large task", test_reserves_for_large_task);
-	CU_add_test(s, "a unit waits for its rack", test_waits_for_rack);
+	CU_add_test(s, "a task waits for the rack of its data", test_waits_for_rack);
 	CU_add_test(s, "a gang starts with all its members", test_gang_starts_whole);
 	CU_add_test(
 		s, "a takeover waits for silent nodes only", test_unconfirmed_after_takeover);
 	CU_add_test(
 		s, "finished runs are acknowledged once stored", test_ends_acked_after_store);
-	CU_add_test(s, "a start without an answer holds its task", test_unanswered_start);
+	CU_add_test(s, "a task is not started again before its start is answered",
+		test_unanswered_start);
 	CU_add_test(s, "a failed attempt is counted once", test_failures_counted_once);
-	CU_add_test(s, "checkpoints outlive the processes", test_checkpoints_stored);
-	CU_add_test(s, "a leaving worker is emptied", test_draining_worker);
-	CU_add_test(s, "a run that ends in time stays on a leaving worker",
+	CU_add_test(s, "reported checkpoints are part of the progress to store",
+		test_checkpoints_stored);
+	CU_add_test(s, "a run that cannot end before its worker leaves is stopped",
+		test_draining_worker);
+	CU_add_test(s, "a run that ends before its worker leaves is not stopped",
 		test_draining_run_ends_in_time);
 	CU_add_test(s, "job documents of the platform are parsed", test_job_parse);
 	CU_add_test(s, "the platform's configuration is read", test_config_parse);
