--- a/tests/unit/test-base.c
+++ b/tests/unit/test-base.c
@@ -18,10 +18,10 @@
 }
 
 /*
- * Each kind of error has an answer, and its name parses to the same kind. An error with an
- * unknown outcome must not claim that the job has not run.
+ * Each kind of error has a name that parses to the same kind, an HTTP status and an exit code.
+ * An error with an unknown outcome must not claim that the job has not run.
  */
-static void errors_have_answers(void)
+static void error_info_complete(void)
 {
 	for (int i = 0; i < ERR_COUNT; i++) {
 		const struct error_info *a = error_info((enum error_kind)i);
@@ -68,6 +68,7 @@
 void unit_base(CU_pSuite s)
 {
 	CU_add_test(s, "durations need a unit", durations_need_unit);
-	CU_add_test(s, "every error has an answer", errors_have_answers);
+	CU_add_test(s, "every error has a name, an HTTP status and an exit code",
+		error_info_complete);
 	CU_add_test(s, "invalid settings are rejected", invalid_settings_rejected);
 }
