--- a/tests/unit/test-sched.c
+++ b/tests/unit/test-sched.c
@@ -24,7 +24,8 @@
 	sched_set_config(s, SEC, d, "c");
 	doc_free(d);
 	for (int i = 0; i < 2; i++) {
-		struct sched_worker_spec w = {i == 0 ? "w0" : "w1", "r", {8, 8, 32, 65536}};
+		struct sched_worker_spec w = {i == 0 ? "w0" : "w1", "r",
+			{.accelerators = 8, .slots = 8, .cores = 32, .memory_mb = 65536}};
 
 		sched_worker_up(s, SEC, &w);
 	}
@@ -71,7 +72,10 @@
 	return stop_actions;
 }
 
-/* A gang preempts another one after each has waited or run for a time slice, not earlier. */
+/*
+ * A gang preempts another one once it was queued for PREEMPT_WAIT_MIN and the other has run for
+ * CHECKPOINT_RUN_MIN, not earlier. Both are 60 s, in coordination/sched-claim.c.
+ */
 static void test_gang_time_slice(void)
 {
 	struct sched *s = make_sched();
@@ -84,6 +88,7 @@
 	CU_ASSERT_EQUAL(run_pass(s, 30 * SEC), 0);
 	CU_ASSERT_EQUAL(run_pass(s, 70 * SEC), 1);
 	CU_ASSERT_EQUAL(sched_job(s, second)->state, SCHED_JOB_CLAIMING);
+	/* The first gang has run for 69 s, which its checkpoints preserve. */
 	for (uint32_t i = 0; i < 2; i++)
 		sched_member_ended(s, 71 * SEC, first, 1, i, MEMBER_END_STOPPED, 69 * SEC);
 	CU_ASSERT_EQUAL(run_pass(s, 71 * SEC), 0);
@@ -108,7 +113,7 @@
 
 /*
  * An urgent job without a guarantee preempts a borrower once it was queued for URGENT_WAIT_MIN,
- * if little work is lost.
+ * 2 s in coordination/sched-claim.c, if little work is lost.
  */
 static void test_urgent_preempts(void)
 {
