--- a/tests/unit/test-state.c
+++ b/tests/unit/test-state.c
@@ -5,10 +5,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Fails one store call of a kind, counted down, before or after it takes effect. */
+/* Makes one store call fail; fault tells whether it takes effect nevertheless. */
 struct fault_plan {
-	const char *call;
-	int countdown;
+	const char *call; /* name of the call that fails */
+	int countdown;	  /* 1: the next call of that name fails, 2: the one after it */
 	enum store_fault fault;
 };
 
@@ -51,7 +51,10 @@
 	return n;
 }
 
-/* An edit whose store reply is lost is recognised by its token and applied only once. */
+/*
+ * An edit whose store reply is lost is applied only once: config_put finds the random token
+ * that it wrote with the edit.
+ */
 static void edit_reply_lost(void)
 {
 	struct fault_plan plan = {"txn", 2, STORE_FAULT_RESPONSE_LOST};
@@ -173,16 +176,16 @@
 	struct cell_term a = {0}, b = {0};
 	struct job_write w = {.record = {.spec = {.id = "c~1", .org = "o"}}};
 	g_autoptr(GPtrArray) records = g_ptr_array_new_with_free_func(job_record_free);
-	bool ours = false;
+	bool term_current = false;
 
 	CU_ASSERT(cell_term_acquire(s, "c", "x:1", "x", 5, &a, NULL));
-	CU_ASSERT(job_store_write(s, "c", &a, &w, 1, &ours, NULL));
-	CU_ASSERT(ours);
+	CU_ASSERT(job_store_write(s, "c", &a, &w, 1, &term_current, NULL));
+	CU_ASSERT(term_current);
 	store_embedded_expire_leases(s);
 	CU_ASSERT(cell_term_acquire(s, "c", "y:1", "y", 5, &b, NULL));
 	w.record.attempt = 7;
-	CU_ASSERT(job_store_write(s, "c", &a, &w, 1, &ours, NULL));
-	CU_ASSERT_FALSE(ours);
+	CU_ASSERT(job_store_write(s, "c", &a, &w, 1, &term_current, NULL));
+	CU_ASSERT_FALSE(term_current);
 	CU_ASSERT(job_store_load(s, "c", records, NULL));
 	CU_ASSERT_EQUAL_FATAL(records->len, 1);
 	CU_ASSERT_EQUAL(((struct job_record *)records->pdata[0])->attempt, 0);
