--- a/tests/unit/test-agent.c
+++ b/tests/unit/test-agent.c
@@ -78,7 +78,7 @@
 		.size = size,
 		.accelerators = accelerators,
 		.start = start,
-		.roster = "x:1,y:1"};
+		.roster = "x:1,y:1"}; /* addresses of the agents of the gang's members */
 	agent_core_message(a, 0, &m);
 }
 
