--- a/tests/property/prop-gang.cc
+++ b/tests/property/prop-gang.cc
@@ -17,7 +17,8 @@
  * simulated network under random events. Messages are delivered one by one, connections break
  * and lose the messages in transit, agents restart, jobs are cancelled, and coordinators crash
  * and are replaced by one with a higher term, so that answers to the entry are lost. Store
- * writes fail or take effect without a reply; the store keeps the roster and the job records.
+ * writes fail or take effect without a reply; the store keeps the job records and the roster,
+ * the list of agents that coord_roster() returns.
  */
 
 static const int64_t SEC = NSEC_PER_SEC;
@@ -50,7 +51,7 @@
 	peer_id next_peer = 10;
 	uint64_t next_incarnation = 1;
 	node nodes[AGENT_COUNT];
-	std::string roster;
+	std::string roster; /* as stored; see coord_roster() */
 	std::map<std::string, job_record *> store;
 	std::map<std::string, job_spec *> open_jobs;
 	std::map<std::string, uint64_t> submitted_term;
@@ -87,15 +88,17 @@
 {
 	node *n = (node *)arg;
 	node *to = node_by_addr(n->parent, addr);
-	char reply[8];
+	/* Address "rN" of this agent for the reply; "aN" is its address for other messages. */
+	char reply_addr[8];
 
 	if (n->partitioned || to->partitioned)
 		return;
-	snprintf(reply, sizeof(reply), "r%d", n->index);
+	snprintf(reply_addr, sizeof(reply_addr), "r%d", n->index);
+	/* A message to an address for replies is itself a reply. */
 	if (addr[0] == 'r')
 		agent_core_gang_beat_reply(to->core, n->parent->now, &m->gang_beat);
 	else
-		agent_core_gang_beat(to->core, n->parent->now, &m->gang_beat, reply);
+		agent_core_gang_beat(to->core, n->parent->now, &m->gang_beat, reply_addr);
 }
 
 static void agent_port_start(void *arg, const agent_member *m)
@@ -119,8 +122,8 @@
 }
 
 /*
- * Ends the member of a job on a node. The model relies on the upstream: a member that is
- * reported as never started has not run.
+ * Ends the member of a job on a node. The upstream is assumed to report truthfully: a member
+ * reported as never started has not run, so its start is no longer counted.
  */
 static void end_task(node *n, std::string id, member_end end)
 {
@@ -258,7 +261,7 @@
 	coord_hello(c->coordinator, c->now, n->peer, &h);
 }
 
-/* Submits an open job of the entry to the coordinator, which may be a repetition. */
+/* Submits an open job of the entry to the coordinator, for the first time or again. */
 static void submit_job(cell *c, const std::string &id)
 {
 	msg m = {};
@@ -583,7 +586,8 @@
 {
 	auto events =
 		*rc::gen::container<std::vector<uint32_t>>(rc::gen::arbitrary<uint32_t>());
-	auto bounded_events = *rc::gen::container<std::vector<uint32_t>>(
+	/* Further events, with numbers below 2^20. */
+	auto small_events = *rc::gen::container<std::vector<uint32_t>>(
 		rc::gen::inRange<uint32_t>(0, 1u << 20));
 	cell *c = new_cell();
 
@@ -599,7 +603,7 @@
 		process_store_writes(c, false, false);
 		advance_time(c, SEC / 4);
 	}
-	events.insert(events.end(), bounded_events.begin(), bounded_events.end());
+	events.insert(events.end(), small_events.begin(), small_events.end());
 	for (uint32_t r : events) {
 		random_event(c, r);
 		if (!c->violation.empty())
