--- a/tests/property/prop-protocol.cc
+++ b/tests/property/prop-protocol.cc
@@ -72,7 +72,8 @@
 static void frames_over_split_stream()
 {
 	keyring *keys = keyring_parse("a secret of some length", nullptr);
-	frame_codec *d = frame_codec_new(keys, true), *a = frame_codec_new(keys, false);
+	frame_codec *dialler = frame_codec_new(keys, true),
+		    *acceptor = frame_codec_new(keys, false);
 	auto bodies = *rc::gen::container<std::vector<std::string>>(
 		rc::gen::arbitrary<std::string>());
 	GByteArray *wire = g_byte_array_new();
@@ -80,12 +81,16 @@
 	size_t len, received = 0, consumed = 0, available = 0;
 	bool flip_bit = *rc::gen::arbitrary<bool>() && !bodies.empty();
 
-	const uint8_t *greeting = frame_greeting(a, &len);
-	RC_ASSERT(frame_decode(d, greeting, len, &view, nullptr) == FRAME_GREETED);
-	greeting = frame_greeting(d, &len);
+	const uint8_t *greeting = frame_greeting(acceptor, &len);
+	RC_ASSERT(frame_decode(dialler, greeting, len, &view, nullptr) == FRAME_GREETED);
+	greeting = frame_greeting(dialler, &len);
 	g_byte_array_append(wire, greeting, (guint)len);
 	for (auto &b : bodies)
-		frame_encode(d, wire, b.data(), b.size());
+		frame_encode(dialler, wire, b.data(), b.size());
+	/*
+	 * After the greeting and the 4 bytes with the length of the first frame: a larger
+	 * length would only make the frame incomplete.
+	 */
 	if (flip_bit)
 		wire->data[*rc::gen::inRange<size_t>(FRAME_GREETING_LEN + 4, wire->len)] ^= 1;
 	bool rejected = false;
@@ -93,8 +98,8 @@
 		available = std::max(available, consumed) + *rc::gen::inRange<size_t>(1, 64);
 		available = std::min<size_t>(available, wire->len);
 		for (;;) {
-			frame_result r = frame_decode(
-				a, wire->data + consumed, available - consumed, &view, nullptr);
+			frame_result r = frame_decode(acceptor, wire->data + consumed,
+				available - consumed, &view, nullptr);
 
 			consumed += view.used;
 			rejected = r == FRAME_INVALID;
@@ -110,8 +115,8 @@
 			break;
 	}
 	RC_ASSERT((flip_bit ? received < bodies.size() : received == bodies.size()));
-	frame_codec_free(a);
-	frame_codec_free(d);
+	frame_codec_free(acceptor);
+	frame_codec_free(dialler);
 	keyring_free(keys);
 	g_byte_array_unref(wire);
 }
@@ -129,19 +134,21 @@
 				      "the old secret of all", "some other secret"),
 			nullptr);
 	keyring *unknown_keys = keyring_parse("some other secret", nullptr);
-	frame_codec *d = frame_codec_new(peer_keys, true),
-		    *a = frame_codec_new(accepted_keys, false);
-	frame_codec *o = frame_codec_new(unknown_keys, true);
+	frame_codec *dialler = frame_codec_new(peer_keys, true),
+		    *acceptor = frame_codec_new(accepted_keys, false);
+	frame_codec *other_dialler = frame_codec_new(unknown_keys, true);
 	frame_view view;
 	size_t len;
-	const uint8_t *greeting = frame_greeting(d, &len);
-	bool same_key = memcmp(greeting, frame_greeting(o, &len), 4 + FRAME_KEY_ID_LEN) == 0;
+	const uint8_t *greeting = frame_greeting(dialler, &len);
+	/* A greeting starts with 4 fixed bytes and the id of the key. */
+	bool same_key = memcmp(greeting, frame_greeting(other_dialler, &len),
+				4 + FRAME_KEY_ID_LEN) == 0;
 
-	RC_ASSERT(
-		(frame_decode(a, greeting, len, &view, nullptr) == FRAME_GREETED) == !same_key);
-	frame_codec_free(a);
-	frame_codec_free(d);
-	frame_codec_free(o);
+	RC_ASSERT((frame_decode(acceptor, greeting, len, &view, nullptr) == FRAME_GREETED) ==
+		  !same_key);
+	frame_codec_free(acceptor);
+	frame_codec_free(dialler);
+	frame_codec_free(other_dialler);
 	keyring_free(accepted_keys);
 	keyring_free(peer_keys);
 	keyring_free(unknown_keys);
@@ -149,10 +156,12 @@
 
 void prop_protocol()
 {
-	check_property("protocol: a decoded message encodes to the same bytes", codec_round_trip);
+	check_property(
+		"protocol: a decoded message encodes to the same bytes", codec_round_trip);
 	check_property("protocol: a corrupted message is rejected or decoded safely",
 		codec_corrupted_input);
-	check_property("transport: frames arrive intact over any split; a flipped bit is detected",
+	check_property(
+		"transport: frames arrive intact over any split; a flipped bit is detected",
 		frames_over_split_stream);
 	check_property("transport: a greeting is accepted only from a peer with a shared key",
 		greeting_requires_shared_key);
