--- a/tests/property/prop-workload.cc
+++ b/tests/property/prop-workload.cc
@@ -27,11 +27,13 @@
 static const int64_t MS = NSEC_PER_MSEC;
 static const int64_t SEC = NSEC_PER_SEC;
 static const int64_t TICK = 50 * MS;
-/* How long a confirmed coordinator lets agents start tasks, and workers run without renewal. */
+/* How long agents may start tasks after the store last confirmed the coordinator's term. */
 static const int64_t AUTHORITY_PERIOD = 4 * SEC;
+/* How long a worker keeps its runs after its agent last renewed the lease. */
 static const int64_t WORKER_LEASE = 6 * SEC;
-/* A coordinator takes a worker for unreachable, and stops scheduling, after these periods. */
+/* A coordinator takes a worker for unreachable this long after its last report. */
 static const int64_t REPORT_TIMEOUT = 3 * SEC;
+/* A coordinator stops scheduling this long after the store last confirmed its term. */
 static const int64_t CONFIRMATION_TIMEOUT = 3 * SEC;
 static const int64_t WORKER_STOP_TIME = 400 * MS;
 static const int FAULT_TICKS = 800;
@@ -106,6 +108,7 @@
 	std::set<std::string> dirty;
 	std::map<std::string, int64_t> last_report_at;
 	std::set<std::string> loaded;
+	/* Workers that have reported but are not yet in the stored roster. */
 	std::set<std::string> roster_pending;
 	int64_t confirmed_at = 0;
 
@@ -120,6 +123,7 @@
 	int64_t now = 100 * SEC;
 	std::vector<worker> workers;
 	std::map<std::string, stored_job> store;
+	/* Workers that may run tasks, as stored; a new coordinator awaits their reports. */
 	std::set<std::string> roster;
 	uint64_t term = 0;
 	int64_t store_down_until = 0;
@@ -184,7 +188,7 @@
 	static wl_spec spec;
 
 	fields_clear(&wl_spec_fields, &spec);
-	auto it = sim->store.find(task.substr(0, 16));
+	auto it = sim->store.find(task.substr(0, WL_ID_LEN));
 	if (it == sim->store.end() || !fields_decode(&wl_spec_fields, &spec,
 					      it->second.spec.data, it->second.spec.len, NULL))
 		return nullptr;
@@ -213,8 +217,9 @@
 static uint32_t start_task(
 	simulation *sim, worker &k, const std::string &task, uint32_t attempt, uint64_t term)
 {
-	static std::map<std::string, wl_step *> steps;
+	static std::map<std::string, wl_step *> steps; /* unused */
 	wl_spec *spec = stored_spec(sim, task);
+	/* The occurrence is the number of the repetition of a repeating job, from 0. */
 	unsigned occurrence = 0, step = 0, index = 0;
 
 	if (term < k.fencing_term)
@@ -228,7 +233,8 @@
 		sim->violation("start of unknown task " + task);
 		return WL_ANSWER_REFUSED_OTHER;
 	}
-	sscanf(task.c_str() + 17, "%u.%u.%u", &occurrence, &step, &index);
+	/* The name is the job id, a dot and these numbers. */
+	sscanf(task.c_str() + WL_ID_LEN + 1, "%u.%u.%u", &occurrence, &step, &index);
 	for (auto &o : sim->workers) {
 		if (o.up && o.runs.count(task))
 			sim->violation("second run of " + task + " on " + k.name +
@@ -239,8 +245,8 @@
 		sim->violation("start of " + task + " after its end was stored");
 	for (uint32_t i = 0; i < spec->steps[step].after_len; i++) {
 		uint32_t before = spec->steps[step].after[i].step;
-		std::string name = task.substr(0, 17) + std::to_string(occurrence) + "." +
-				   std::to_string(before);
+		std::string name = task.substr(0, WL_ID_LEN + 1) + std::to_string(occurrence) +
+				   "." + std::to_string(before);
 		size_t required = spec->steps[before].gang ? 1 : spec->steps[before].count;
 
 		if (sim->done_by_step[name].size() < required)
@@ -347,7 +353,7 @@
 	limits.gang_wait = 3 * SEC;
 	limits.remote_penalty = 3;
 	limits.reclaim_max = 3 * SEC;
-	limits.restore = 500 * MS;
+	limits.restore = 500 * MS; /* to resume from a checkpoint */
 	limits.silence_max = AUTHORITY_PERIOD + WORKER_LEASE + 500 * MS;
 	limits.retention = 1000 * SEC;
 	c->sim = sim;
@@ -415,6 +421,7 @@
 		wl_run entry{};
 		entry.task = (char *)e.first.c_str();
 		entry.attempt = e.second.attempt;
+		/* An arbitrary value, unrelated to the remaining time of the run. */
 		entry.percent = (uint32_t)(sim->now / TICK % 100);
 		runs.push_back(entry);
 	}
@@ -434,6 +441,7 @@
 	r.cores_m = 32000;
 	r.memory_mb = 64000;
 	r.accelerators = WORKER_ACCELERATORS;
+	/* The report reflects every start up to this ordinal. */
 	r.covers = k.last_ordinal;
 	r.runs = runs.data();
 	r.runs_len = (uint32_t)runs.size();
@@ -498,6 +506,7 @@
 			}
 			k.highest_attempt[m.stop.task] =
 				std::max(k.highest_attempt[m.stop.task], m.stop.attempt);
+			/* Unless 0, the ordinal of a start that the agent has to answer. */
 			if (m.stop.ordinal != 0 && !k.runs.count(m.stop.task) && c != nullptr &&
 				!c->dead && sim->now >= k.disconnected_until) {
 				wl_answer_note note{};
@@ -682,6 +691,7 @@
 	q->service = xstrdup("s");
 	q->priority = priority;
 	q->attempts_max = 1000;
+	/* Objective: stretch times the critical path of the job plus target_ms. */
 	q->stretch = priority == 0 ? 1.5 : 3;
 	q->target_ms = 250;
 	return q;
@@ -824,7 +834,8 @@
 
 void prop_workload()
 {
-	check_property("workload: no task runs twice, over capacity, before its dependencies or after "
-	     "its end",
+	check_property(
+		"workload: no task runs twice, over capacity, before its dependencies or after "
+		"its end",
 		[] { simulate(*rc::gen::inRange<uint32_t>(0, UINT32_MAX)); });
 }
