--- a/tests/scenario/client.c
+++ b/tests/scenario/client.c
@@ -25,7 +25,7 @@
 		j->outcome = xstrdup(outcome != NULL ? outcome
 				     : j->not_run    ? "not_run"
 						     : "unknown");
-		j->kind = xstrdup(kind);
+		j->error_name = xstrdup(kind);
 	} else if (c->status == 202) {
 		j->id = xstrdup(json_string_value(json_object_get(o, "id")));
 	} else {
@@ -142,7 +142,7 @@
 	state = json_string_value(json_object_get(o, "state"));
 	if (status == 200 && state != NULL && strcmp(state, "ended") == 0) {
 		j->outcome = xstrdup(json_string_value(json_object_get(o, "outcome")));
-		j->kind = xstrdup(json_string_value(json_object_get(o, "error")));
+		j->error_name = xstrdup(json_string_value(json_object_get(o, "error")));
 		j->not_run = json_is_true(json_object_get(o, "not_run"));
 	}
 	json_decref(o);
--- a/tests/scenario/proc.c
+++ b/tests/scenario/proc.c
@@ -166,9 +166,9 @@
  * Wait for a process to end. Returns its exit code, 128 plus the signal that ended it, or -1 if
  * it was killed here because the timeout passed.
  */
-int proc_reap(struct proc *p, int64_t limit)
+int proc_reap(struct proc *p, int64_t timeout_ns)
 {
-	int64_t until = now_ns() + limit;
+	int64_t until = now_ns() + timeout_ns;
 	int status = 0;
 
 	if (p->pid <= 0)
--- a/tests/scenario/runner.c
+++ b/tests/scenario/runner.c
@@ -446,9 +446,10 @@
 			: j->cut   ? "connection lost"
 				   : "none",
 			w[2], j->response ? j->response : "");
-	if (option_value(w, "kind") != NULL && g_strcmp0(option_value(w, "kind"), j->kind) != 0)
-		fail(s, "job %s: kind is %s, expected %s", w[1], j->kind ? j->kind : "none",
-			option_value(w, "kind"));
+	if (option_value(w, "kind") != NULL &&
+		g_strcmp0(option_value(w, "kind"), j->error_name) != 0)
+		fail(s, "job %s: kind is %s, expected %s", w[1],
+			j->error_name ? j->error_name : "none", option_value(w, "kind"));
 	if (has_word(w, "not_run") && !j->not_run)
 		fail(s, "job %s: not_run is not set", w[1]);
 }
--- a/tests/scenario/runner.h
+++ b/tests/scenario/runner.h
@@ -51,7 +51,8 @@
 	int status;
 	char *id;
 	char *outcome;
-	char *kind;
+	/* Name of the error that the job ended with, or NULL. */
+	char *error_name;
 	char *response;
 	bool not_run;
 };
@@ -92,8 +93,8 @@
 	GHashTable *config_numbers;
 	GRand *rand;
 	struct scenario_counts counts;
-	FILE *transcript;
-	int expect_running;
+	FILE *transcript;   /* unused */
+	int expect_running; /* unused */
 };
 
 /* proc.c */
@@ -104,7 +105,7 @@
 bool proc_signal(struct scenario *s, struct proc *p, int sig);
 struct proc *proc_find(struct scenario *s, const char *name);
 void proc_check_crashes(struct scenario *s);
-int proc_reap(struct proc *p, int64_t limit);
+int proc_reap(struct proc *p, int64_t timeout_ns);
 void proc_free(void *p);
 char *unused_addr(void);
 
