--- a/tests/scenario/audit.c
+++ b/tests/scenario/audit.c
@@ -163,9 +163,10 @@
 }
 
 /*
- * Count duplicate runs, wrong not_run reports and gangs that ran in part for too long. Jobs
- * that are submitted under one key with one tag count as one job, which has the tag as its
- * name.
+ * Count duplicate runs, wrong not_run reports and gangs that ran in part for too long. A run
+ * counts for every job whose name equals the tag of the run. The word tag= of the submit
+ * command sets the name, so submissions under one key with one tag share their runs. Jobs with
+ * a key are not checked for wrong not_run reports.
  */
 void audit_check_runs(struct scenario *s)
 {
