--- a/tests/soak/soak-fault.c
+++ b/tests/soak/soak-fault.c
@@ -5,9 +5,10 @@
 #include <string.h>
 
 /*
- * Injects faults at random times; faults overlap, and each is reverted after a random time. A
- * fault is a signal to a process, a change to one of its relays, or a command to the
- * platform stand-in.
+ * Injects faults at random times; faults overlap. A fault is a signal to a process, a change to
+ * one of its relays, or a command to the platform stand-in. revert_fault() ends it after a
+ * random time, except for the kinds that need no revert: lost store replies affect only the
+ * next 3 writes, late starts only the next 3 starts, and a crashed worker starts again at once.
  */
 
 #define FIRST_FAULT_DELAY_NS NSEC_PER_SEC
@@ -25,6 +26,7 @@
 	FAULT_WORKER_LINK,
 	FAULT_STORE_DOWN,
 	FAULT_STORE_REPLIES_LOST,
+	/* The next 3 starts of tasks are answered with 500 and carried out later. */
 	FAULT_LATE_STARTS,
 	FAULT_WORKER_CRASH,
 	FAULT_KIND_COUNT
@@ -34,9 +36,13 @@
 	"store-link", "worker-link", "store-down", "store-answers", "late-orders",
 	"worker-crash"};
 
-/* A fault that is active until end_at. */
+/* A fault that is active until end_at; meanwhile its node gets no other fault. */
 struct fault {
 	enum fault_kind kind;
+	/*
+	 * Also drawn, printed and kept free of other faults for the kinds that affect no node:
+	 * FAULT_STORE_DOWN, FAULT_STORE_REPLIES_LOST and FAULT_LATE_STARTS.
+	 */
 	struct soak_node *node;
 	int64_t end_at;
 };
