--- a/tests/soak/main.c
+++ b/tests/soak/main.c
@@ -208,6 +208,10 @@
 	printf("soak seed=%u ", seed);
 	violations = check_invariants(&soak, stdout);
 	stop_all(&soak);
+	/*
+	 * The counter holds all failures of the run, not only those of stop_all(). violations
+	 * already includes the earlier ones, so these are added twice.
+	 */
 	printf(" stop_failed=%u\n", soak.scenario.counts.failed);
 	violations += soak.scenario.counts.failed;
 	if (violations > 0)
--- a/tests/soak/soak-check.c
+++ b/tests/soak/soak-check.c
@@ -64,7 +64,11 @@
 	return ran;
 }
 
-/* Checks all invariants, prints the counts to out and returns the number of violations. */
+/*
+ * Checks all invariants, prints the counts to out and returns the number of violations.
+ * ended_by_itself counts all failures so far: processes that ended without being stopped or did
+ * not get ready, and an entry that served no calls after the start.
+ */
 unsigned int check_invariants(struct soak *soak, FILE *out)
 {
 	unsigned int lost = count_unfinished_jobs(soak);
