--- a/packages/bench/bench-policy.c
+++ b/packages/bench/bench-policy.c
@@ -33,7 +33,7 @@
 #define LARGE_ACCELERATORS	8
 #define ALL_RACKS		UINT32_MAX
 #define ACCELERATORS_PER_WORKER 8.0
-#define URGENT_MAX		(94 * SEC / 10)
+#define URGENT_MAX		(94 * SEC / 10) /* unused */
 #define SEEDS_MAX		32
 
 /* A stream of similar jobs; load_share is its fraction of the offered work. */
@@ -56,7 +56,7 @@
 	uint32_t workers;
 	uint32_t per_rack;
 	int cores;
-	double mean_scale;
+	double mean_scale; /* unused */
 	struct stream streams[8];
 };
 
@@ -155,28 +155,35 @@
 };
 
 struct totals {
-	double completion;
-	double fragmentation;
+	double completion;    /* unused */
+	double fragmentation; /* sum over the samples */
 	uint32_t samples;
-	/* In accelerator-seconds. */
+	/* Work of the jobs that completed within ARRIVAL_PERIOD, in accelerator-seconds. */
 	double useful_work;
-	double available_work;
+	/* Work that all workers that were up could do in that time, in accelerator-seconds. */
+	double capacity;
+	/*
+	 * Waits from arrival to first start of the jobs that fitted their guarantee on arrival:
+	 * the sum in seconds, the longest, and the longest of an urgent job, both in ns.
+	 */
 	double guaranteed_wait;
 	uint32_t guaranteed_jobs;
-	int64_t urgent_wait_max;
-	int64_t reclaim_max;
+	int64_t guaranteed_wait_max;
+	int64_t guaranteed_urgent_wait_max;
 	uint32_t guarantee_misses;
 	uint32_t partial_gangs;
 	uint32_t double_runs;
-	uint32_t false_refusals;
-	uint32_t refused;
+	/* Jobs reported as not run, with any outcome, that had started. */
+	uint32_t false_not_run;
+	/* Jobs that ended with OUTCOME_NOT_RUN, on submission or later. */
+	uint32_t not_run;
 };
 
 struct bench {
 	const struct deployment *deployment;
 	struct sched *sched;
 	struct doc *doc;
-	GRand *rand;
+	GRand *rand; /* unused */
 	GArray *heap;
 	uint64_t order;
 	int64_t now;
@@ -185,7 +192,8 @@
 	size_t jobs_len;
 	size_t unfinished;
 	bool worker_faulty;
-	int64_t disturbed_until;
+	/* Jobs that arrive before this, after a fault, don't count as guaranteed. */
+	int64_t recovery_until;
 	uint32_t racks_down;
 	struct totals totals;
 };
@@ -434,7 +442,7 @@
 	struct demand open[64];
 	size_t n = 0;
 
-	if (b->racks_down > 0 || b->worker_faulty || b->now < b->disturbed_until)
+	if (b->racks_down > 0 || b->worker_faulty || b->now < b->recovery_until)
 		return false;
 	for (size_t i = 0; i < b->jobs_len && n < ARRAY_LEN(open); i++) {
 		const struct arrival *j = &b->jobs[i];
@@ -514,8 +522,9 @@
 {
 	a->running = false;
 	for (uint32_t i = 0; i < a->members; i++)
-		sched_member_ended(
-			b->sched, b->now, a->ref, attempt, i, end, a->run_time - a->remaining);
+		sched_member_ended(b->sched, b->now, a->ref, attempt, i, end,
+			/* Run time that checkpoints preserve over all attempts. */
+			a->run_time - a->remaining);
 	request_pass(b);
 }
 
@@ -551,9 +560,9 @@
 	a->running = false;
 	b->unfinished--;
 	if (action->end.not_run && a->start_count > 0)
-		b->totals.false_refusals++;
+		b->totals.false_not_run++;
 	if (action->end.outcome == OUTCOME_NOT_RUN)
-		b->totals.refused++;
+		b->totals.not_run++;
 	if (a->done && b->now <= ARRIVAL_PERIOD)
 		b->totals.useful_work += (double)a->run_time / (double)SEC * a->accelerators;
 	sched_remove_job(b->sched, a->ref);
@@ -586,8 +595,11 @@
 	for (uint32_t i = 0; i < b->deployment->workers; i++) {
 		char name[16];
 		char rack_name[16];
-		struct sched_worker_spec spec = {
-			name, rack_name, {8, 8, b->deployment->cores, 65536}};
+		struct sched_worker_spec spec = {name, rack_name,
+			{.accelerators = 8,
+				.slots = 8,
+				.cores = b->deployment->cores,
+				.memory_mb = 65536}};
 
 		if (rack != ALL_RACKS && i / b->deployment->per_rack != rack)
 			continue;
@@ -635,14 +647,14 @@
 	request_pass(b);
 }
 
-/* Samples fragmentation and available capacity. */
+/* Samples the fragmentation and the accelerators of the workers that are up. */
 static void take_sample(struct bench *b)
 {
 	struct sched_free_view v;
 
 	sched_free_view(b->sched, b->now, &v);
 	b->totals.fragmentation += v.fragmentation;
-	b->totals.available_work += v.accelerators * (double)SAMPLE_INTERVAL / (double)SEC;
+	b->totals.capacity += v.accelerators * (double)SAMPLE_INTERVAL / (double)SEC;
 	b->totals.samples++;
 	if (b->now + SAMPLE_INTERVAL <= ARRIVAL_PERIOD)
 		event_push(b, b->now + SAMPLE_INTERVAL, EVENT_SAMPLE, NULL, 0);
@@ -696,7 +708,7 @@
 		break;
 	case EVENT_RACK_UP:
 		b->racks_down--;
-		b->disturbed_until = b->now + RACK_RECOVERY;
+		b->recovery_until = b->now + RACK_RECOVERY;
 		set_workers_up(b, 1, true);
 		request_pass(b);
 		break;
@@ -705,7 +717,7 @@
 		break;
 	case EVENT_WORKER_FAULT_END:
 		b->worker_faulty = false;
-		b->disturbed_until = b->now + WORKER_RECOVERY;
+		b->recovery_until = b->now + WORKER_RECOVERY;
 		break;
 	case EVENT_CANCEL_WAITING:
 		cancel_waiting_jobs(b);
@@ -825,12 +837,13 @@
 		if (a->guaranteed && a->first_started != 0) {
 			b->totals.guaranteed_wait += wait_s;
 			b->totals.guaranteed_jobs++;
-			b->totals.reclaim_max = MAX(b->totals.reclaim_max, wait);
+			b->totals.guaranteed_wait_max =
+				MAX(b->totals.guaranteed_wait_max, wait);
 			if (wait > wait_max)
 				b->totals.guarantee_misses++;
 			if (class_of(b, a->stream)->urgent)
-				b->totals.urgent_wait_max =
-					MAX(b->totals.urgent_wait_max, wait);
+				b->totals.guaranteed_urgent_wait_max =
+					MAX(b->totals.guaranteed_urgent_wait_max, wait);
 		}
 		if (!a->done)
 			continue;
@@ -844,9 +857,7 @@
 	r.large_wait_p99 = quantile(large, 0.99);
 	r.fragmentation =
 		b->totals.samples > 0 ? b->totals.fragmentation / b->totals.samples : 0;
-	r.goodput = b->totals.available_work > 0
-			    ? b->totals.useful_work / b->totals.available_work
-			    : 0;
+	r.goodput = b->totals.capacity > 0 ? b->totals.useful_work / b->totals.capacity : 0;
 	r.bound = lower_bound(b);
 	r.guaranteed_wait = b->totals.guaranteed_jobs > 0
 				    ? b->totals.guaranteed_wait / b->totals.guaranteed_jobs
@@ -908,10 +919,10 @@
 	       "within_wait_s=%.3f within_jobs=%u refused=%u\n",
 		deployment, load, seed, policy, r->mean_completion, r->p99_completion,
 		r->fragmentation, r->urgent_wait_p99, r->large_wait_p99,
-		(double)r->totals.reclaim_max / (double)SEC, r->goodput,
+		(double)r->totals.guaranteed_wait_max / (double)SEC, r->goodput,
 		r->totals.guarantee_misses, r->totals.partial_gangs, r->totals.double_runs,
-		r->totals.false_refusals, r->bound > 0 ? r->mean_completion / r->bound : 0,
-		r->guaranteed_wait, r->totals.guaranteed_jobs, r->totals.refused);
+		r->totals.false_not_run, r->bound > 0 ? r->mean_completion / r->bound : 0,
+		r->guaranteed_wait, r->totals.guaranteed_jobs, r->totals.not_run);
 	fflush(stdout);
 }
 
@@ -927,8 +938,9 @@
 	GArray *large;
 	GArray *bound;
 	GArray *goodput;
-	GArray *victim_wait;
-	int64_t urgent_wait_max;
+	/* Mean wait of guaranteed jobs at load 1.5 relative to that at load 0.7. */
+	GArray *guaranteed_wait_ratio;
+	int64_t guaranteed_urgent_wait_max;
 	uint32_t guarantee_misses;
 	uint32_t violations;
 };
@@ -954,8 +966,9 @@
 	}
 	sum->guarantee_misses += full->totals.guarantee_misses;
 	sum->violations += full->totals.partial_gangs + full->totals.double_runs +
-			   full->totals.false_refusals;
-	sum->urgent_wait_max = MAX(sum->urgent_wait_max, full->totals.urgent_wait_max);
+			   full->totals.false_not_run;
+	sum->guaranteed_urgent_wait_max =
+		MAX(sum->guaranteed_urgent_wait_max, full->totals.guaranteed_urgent_wait_max);
 	/* Load 0.9. */
 	if (load > 0.85 && load < 0.95) {
 		append_ratio(
@@ -968,7 +981,8 @@
 		struct run_result low_load = simulate(d, 0.7, seed, SCHED_POLICY_FULL, -1);
 
 		g_array_append_val(sum->goodput, full->goodput);
-		append_ratio(sum->victim_wait, full->guaranteed_wait, low_load.guaranteed_wait);
+		append_ratio(sum->guaranteed_wait_ratio, full->guaranteed_wait,
+			low_load.guaranteed_wait);
 	}
 }
 
@@ -999,7 +1013,7 @@
 	const char *filter = argc > 2 ? argv[2] : NULL;
 	struct summary sum = {0};
 	GArray **lists[] = {&sum.completion, &sum.fragmentation, &sum.large, &sum.bound,
-		&sum.goodput, &sum.victim_wait};
+		&sum.goodput, &sum.guaranteed_wait_ratio};
 
 	log_set_level(LOG_LEVEL_ERROR);
 	for (size_t i = 0; i < ARRAY_LEN(lists); i++)
@@ -1021,8 +1035,8 @@
 	       "bound_ratio=%.3f urgent_max_s=%.2f guarantee_misses=%u overload_goodput=%.3f "
 	       "victim_wait_ratio=%.3f violations=%u\n",
 		median(sum.completion), median(sum.fragmentation), median(sum.large),
-		median(sum.bound), (double)sum.urgent_wait_max / (double)SEC,
-		sum.guarantee_misses, median(sum.goodput), median(sum.victim_wait),
+		median(sum.bound), (double)sum.guaranteed_urgent_wait_max / (double)SEC,
+		sum.guarantee_misses, median(sum.goodput), median(sum.guaranteed_wait_ratio),
 		sum.violations);
 	return 0;
 }
