--- a/packages/bench/bench-scale.c
+++ b/packages/bench/bench-scale.c
@@ -368,7 +368,7 @@
 }
 
 /* Measures the mean time of a scheduling pass over a full cell with a queue. */
-static void measure_decision(uint32_t workers, uint32_t queue)
+static void measure_pass(uint32_t workers, uint32_t queue)
 {
 	struct sched *s = sched_new(SCHED_POLICY_FULL, 1);
 	int64_t now = NSEC_PER_SEC;
@@ -378,7 +378,8 @@
 	for (uint32_t i = 0; i < workers; i++) {
 		char name[16];
 		char rack[16];
-		struct sched_worker_spec spec = {name, rack, {8, 8, 32, 65536}};
+		struct sched_worker_spec spec = {name, rack,
+			{.accelerators = 8, .slots = 8, .cores = 32, .memory_mb = 65536}};
 
 		snprintf(name, sizeof(name), "w%u", i);
 		snprintf(rack, sizeof(rack), "r%u", i / WORKERS_PER_RACK);
@@ -442,7 +443,7 @@
 	print_linear_fit("entry_cpu_per_agent", x, entry, ARRAY_LEN(sizes), "percent_of_core");
 	for (size_t c = 0; c < ARRAY_LEN(cells); c++) {
 		for (size_t q = 0; q < ARRAY_LEN(queues); q++)
-			measure_decision(cells[c], queues[q]);
+			measure_pass(cells[c], queues[q]);
 	}
 	return 0;
 }
