--- a/packages/bench/bench-workload.c
+++ b/packages/bench/bench-workload.c
@@ -150,7 +150,7 @@
 		.cores_m = 128000,
 		.memory_mb = 262144,
 		.accelerators = ACCELERATORS_PER_WORKER,
-		.covers = s->ordinal,
+		.covers = s->ordinal, /* the report reflects all starts sent so far */
 		.ends = (struct wl_ended *)n->ends->data,
 		.ends_len = n->ends->len};
 
@@ -243,6 +243,7 @@
 		q->service = xstrdup("s");
 		q->priority = job_kinds[i].priority;
 		q->attempts_max = 4;
+		/* Objective: stretch times the critical path of the job plus target_ms. */
 		q->stretch = job_kinds[i].priority == 0 ? 1.5 : 3;
 		q->target_ms = 250;
 		wl_config_add_queue(c, q);
@@ -274,7 +275,7 @@
 	const struct wl_limits limits = {.stop_max = 400 * NSEC_PER_MSEC,
 		.gang_wait = 4 * NSEC_PER_SEC,
 		.remote_penalty = 3,
-		.restore = 250 * NSEC_PER_MSEC,
+		.restore = 250 * NSEC_PER_MSEC, /* to resume from a checkpoint */
 		.silence_max = 10 * NSEC_PER_SEC,
 		.reclaim_max = 2900 * NSEC_PER_MSEC,
 		.retention = 150 * NSEC_PER_SEC};
