--- a/packages/bench/bench-policy.c
+++ b/packages/bench/bench-policy.c
@@ -164,12 +164,12 @@
 	double capacity;
 	/*
 	 * Waits from arrival to first start of the jobs that fitted their guarantee on arrival:
-	 * the sum in seconds, the longest, and the longest of an urgent job, both in ns.
+	 * the sum in seconds, and in ns the longest of an urgent job and the longest of any.
 	 */
 	double guaranteed_wait;
 	uint32_t guaranteed_jobs;
-	int64_t guaranteed_wait_max;
 	int64_t guaranteed_urgent_wait_max;
+	int64_t guaranteed_wait_max;
 	uint32_t guarantee_misses;
 	uint32_t partial_gangs;
 	uint32_t double_runs;
