--- a/packages/base/error.c
+++ b/packages/base/error.c
@@ -6,9 +6,9 @@
 /*
  * How each error kind is reported to a caller. If a kind sets not_run, a reply about a job may
  * use the kind only if no part of the job was started, or must override not_run (see
- * http_reply_outcome). Errors that are not reported for a job, such as an invalid frame on a
- * peer connection or a conflicting write to the store, may have such a kind at any time. Kinds
- * for an uncertain outcome never set not_run.
+ * http_reply_problem_full). Errors that are not reported for a job, such as an invalid frame on
+ * a peer connection or a conflicting write to the store, may have such a kind at any time.
+ * Kinds for an uncertain outcome never set not_run.
  */
 static const struct error_info error_infos[ERR_COUNT] = {
 	[ERR_INVALID] = {"invalid", "The request is malformed", 400, true, RETRY_AFTER_CHANGE,
--- a/packages/daemon/entry-job.c
+++ b/packages/daemon/entry-job.c
@@ -86,7 +86,8 @@
 		return;
 	}
 	extra = outcome_json_fields(job, res);
-	http_reply_outcome(r, res->error, res->detail, res->not_run, res->retry_after_s, extra);
+	http_reply_problem_full(
+		r, res->error, res->detail, res->not_run, res->retry_after_s, extra);
 }
 
 /* Answers that a job was accepted, with the path to query it. */
@@ -200,7 +201,7 @@
 		if (j->accepted)
 			reply_accepted(j->request, j->spec.id);
 		else
-			http_reply_outcome(j->request, ERR_UNKNOWN_OUTCOME,
+			http_reply_problem_full(j->request, ERR_UNKNOWN_OUTCOME,
 				"no coordinator confirmed the job in time", false, 0, NULL);
 		close_job(j);
 	}
--- a/packages/daemon/entry-query.c
+++ b/packages/daemon/entry-query.c
@@ -67,7 +67,7 @@
 	if (q->all_cells)
 		reply_merged(q);
 	else {
-		http_reply_outcome(q->request, ERR_NO_COORDINATOR,
+		http_reply_problem_full(q->request, ERR_NO_COORDINATOR,
 			"the cell has no coordinator; nothing can be said about the job", false,
 			NO_COORDINATOR_RETRY_S, NULL);
 		close_query(q);
@@ -135,7 +135,7 @@
 			reply_merged(q);
 			continue;
 		}
-		http_reply_outcome(q->request, ERR_NO_COORDINATOR,
+		http_reply_problem_full(q->request, ERR_NO_COORDINATOR,
 			"the coordinator did not answer in time", false, NO_COORDINATOR_RETRY_S,
 			NULL);
 		close_query(q);
--- a/packages/daemon/entry.c
+++ b/packages/daemon/entry.c
@@ -83,7 +83,7 @@
 
 	while ((j = LIST_FIRST(&e->open_jobs)) != NULL) {
 		LIST_REMOVE(j, link);
-		http_reply_outcome(j->request, ERR_DRAINING,
+		http_reply_problem_full(j->request, ERR_DRAINING,
 			"this entry is stopping; ask another one for the job", !j->sent,
 			STOPPING_RETRY_S, NULL);
 		open_job_free(j);
--- a/packages/daemon/wl-agent.c
+++ b/packages/daemon/wl-agent.c
@@ -318,7 +318,7 @@
 		return;
 	a->store_call_pending = true;
 	a->store_call_at = agent_now(a);
-	kv_get(a->p->kv, KEY_COORDINATOR_ADDR, KV_READ_EXACT, on_coordinator_read, a);
+	kv_get(a->p->kv, KEY_COORDINATOR_ADDR, KV_READ_LINEARIZABLE, on_coordinator_read, a);
 }
 
 /*
--- a/packages/daemon/wl-config-feed.c
+++ b/packages/daemon/wl-config-feed.c
@@ -143,7 +143,7 @@
 	f->check_in_flight = true;
 	f->check_sent_at = loop_now(f->p->loop);
 	if (f->revision == 0) {
-		kv_get(f->p->kv, PF_CONFIG_KEY, KV_READ_EXACT, on_check_reply, f);
+		kv_get(f->p->kv, PF_CONFIG_KEY, KV_READ_LINEARIZABLE, on_check_reply, f);
 		return;
 	}
 	t.expect[0] = (struct kv_condition){PF_CONFIG_KEY, f->revision};
--- a/packages/daemon/wl-coord-inbox.c
+++ b/packages/daemon/wl-coord-inbox.c
@@ -215,7 +215,7 @@
 static void list_inbox(struct wl_coord *c, const char *after)
 {
 	c->calls_in_flight++;
-	kv_list(c->p->kv, KEY_INBOX, after, KV_READ_EXACT, on_inbox_page, c);
+	kv_list(c->p->kv, KEY_INBOX, after, KV_READ_LINEARIZABLE, on_inbox_page, c);
 }
 
 static void list_progress(struct wl_coord *c, const char *after);
@@ -253,7 +253,7 @@
 static void list_progress(struct wl_coord *c, const char *after)
 {
 	c->calls_in_flight++;
-	kv_list(c->p->kv, KEY_PROGRESS, after, KV_READ_EXACT, on_progress_page, c);
+	kv_list(c->p->kv, KEY_PROGRESS, after, KV_READ_LINEARIZABLE, on_progress_page, c);
 }
 
 /*
@@ -281,7 +281,7 @@
 static void list_nodes(struct wl_coord *c, const char *after)
 {
 	c->calls_in_flight++;
-	kv_list(c->p->kv, KEY_NODE, after, KV_READ_EXACT, on_nodes_page, c);
+	kv_list(c->p->kv, KEY_NODE, after, KV_READ_LINEARIZABLE, on_nodes_page, c);
 }
 
 void inbox_start(struct wl_coord *c)
--- a/packages/daemon/wl-daemon.h
+++ b/packages/daemon/wl-daemon.h
@@ -74,7 +74,7 @@
 
 /*
  * wl-detour.c: relays an entry's store calls through the coordinator's process, which forwards
- * them to the store. This relay is called a detour; kv_via_peer tells whether it is in use.
+ * them to the store. This relay is called a detour; kv_uses_detour tells whether it is in use.
  */
 struct wl_detour;
 struct wl_detour *wl_detour_new(struct wl_process *p);
--- a/packages/daemon/wl-detour.c
+++ b/packages/daemon/wl-detour.c
@@ -198,7 +198,8 @@
 	struct wl_detour *d = xcalloc(1, sizeof(*d));
 	const struct peer_events events = {
 		.opened = on_opened, .message = on_message, .closed = on_closed, .arg = d};
-	const struct pf_detour detour = {.open = detour_is_open, .send = detour_send, .arg = d};
+	const struct pf_detour detour = {
+		.relay_available = detour_is_open, .send = detour_send, .arg = d};
 
 	d->p = p;
 	d->net = peer_net_new(p->loop, p->keys, &events);
--- a/packages/daemon/wl-entry-job.c
+++ b/packages/daemon/wl-entry-job.c
@@ -320,7 +320,7 @@
 	AUTOFREE char *key = NULL;
 
 	xasprintf(&key, KEY_PROGRESS "%s", c->id);
-	kv_get(c->entry->p->kv, key, KV_READ_EXACT, on_cancel_state_read, c);
+	kv_get(c->entry->p->kv, key, KV_READ_LINEARIZABLE, on_cancel_state_read, c);
 }
 
 static void reply_depth(struct entry_call *c)
@@ -448,7 +448,7 @@
 		return;
 	case PF_CALL_STATE:
 		xasprintf(&key, KEY_PROGRESS "%s", c->id);
-		kv_get(c->entry->p->kv, key, KV_READ_EXACT, on_state_read, c);
+		kv_get(c->entry->p->kv, key, KV_READ_LINEARIZABLE, on_state_read, c);
 		return;
 	case PF_CALL_DEPTH:
 		begin_depth(c);
--- a/packages/daemon/wl-entry.c
+++ b/packages/daemon/wl-entry.c
@@ -74,7 +74,7 @@
 	struct wl_entry *e = arg;
 	int64_t age = config_feed_age(e->feed);
 	bool ready = !e->stopping && config_feed_get(e->feed) != NULL &&
-		     age < READY_CONFIG_AGE_MAX && !kv_via_peer(e->p->kv);
+		     age < READY_CONFIG_AGE_MAX && !kv_uses_detour(e->p->kv);
 
 	if (ready == e->ready)
 		return;
--- a/packages/daemon/wl-worker-order.c
+++ b/packages/daemon/wl-worker-order.c
@@ -159,7 +159,7 @@
 		return WL_ANSWER_REFUSED_NO_CAPACITY;
 	case PF_REPLY_INVALID_TICKET:
 		return WL_ANSWER_REFUSED_INVALID_TICKET;
-	case PF_REPLY_UNHEALTHY:
+	case PF_REPLY_UNAVAILABLE:
 		return WL_ANSWER_UNHEALTHY;
 	case PF_REPLY_FENCED:
 	case PF_REPLY_DEADLINE_PASSED:
@@ -384,7 +384,7 @@
 	if (!is_current(w, o->term, o->life))
 		return;
 	worker_send_call(w,
-		pf_worker_pace(w->p->settings.worker_addr, w->heartbeat.id, w->term, o->task,
-			o->attempt, o->percent),
+		pf_worker_limit_speed(w->p->settings.worker_addr, w->heartbeat.id, w->term,
+			o->task, o->attempt, o->percent),
 		NULL, pace_done);
 }
--- a/packages/state/kv.h
+++ b/packages/state/kv.h
@@ -81,7 +81,7 @@
 
 enum kv_consistency {
 	/* Linearizable: returns the latest committed data. */
-	KV_READ_EXACT,
+	KV_READ_LINEARIZABLE,
 	/*
 	 * Answered by any replica of the store without asking the others, so cheaper for the
 	 * store, but the data may be seconds old. Never goes through another process.
@@ -107,7 +107,7 @@
  * Whether key reads and transactions now take the detour: another process relays them to the
  * store, because the store has recently refused this process's calls or left them unanswered.
  */
-bool kv_via_peer(const struct kv *kv);
+bool kv_uses_detour(const struct kv *kv);
 /*
  * Nanoseconds for which calls have been in flight without a response from the store to any of
  * them; 0 if none are in flight or if calls go through another process.
--- a/packages/transport/http-server.c
+++ b/packages/transport/http-server.c
@@ -320,7 +320,7 @@
  * Answers with application/problem+json (RFC 9457). extra_json holds further members, each with
  * a leading comma, or is NULL. not_run may be true only if the job provably has not run.
  */
-void http_reply_outcome(struct http_request *r, enum error_kind kind, const char *detail,
+void http_reply_problem_full(struct http_request *r, enum error_kind kind, const char *detail,
 	bool not_run, uint32_t retry_after_s, const char *extra_json)
 {
 	static const char *const retry_names[] = {"never", "after_change", "later"};
@@ -353,7 +353,8 @@
 {
 	const struct error_info *a = error_info(kind);
 
-	http_reply_outcome(r, kind, detail, a->not_run, (uint32_t)a->retry_after_s, extra_json);
+	http_reply_problem_full(
+		r, kind, detail, a->not_run, (uint32_t)a->retry_after_s, extra_json);
 }
 
 /* Answers with the kind and message of an error. */
--- a/packages/transport/transport.h
+++ b/packages/transport/transport.h
@@ -108,7 +108,7 @@
  * Replies with an error (application/problem+json); not_run and retry_after_s are those given,
  * not those that the error table has for the kind.
  */
-void http_reply_outcome(struct http_request *r, enum error_kind kind, const char *detail,
+void http_reply_problem_full(struct http_request *r, enum error_kind kind, const char *detail,
 	bool not_run, uint32_t retry_after_s, const char *extra_json);
 /* Does the same with not_run and retry_after_s of the error table. */
 void http_reply_problem(struct http_request *r, enum error_kind kind, const char *detail,
