--- a/packages/workload/wl-private.h
+++ b/packages/workload/wl-private.h
@@ -25,8 +25,10 @@
 	uint32_t accelerators;
 };
 /*
- * Unallocated resources of a worker. Negative if the capacity was reduced below what the runs
- * use, or if an orphan of an unknown task, assumed to fill the worker, runs beside others.
+ * Unallocated resources of a worker. They can be negative: if the capacity was reduced below
+ * what the runs use; if an orphan of an unknown task, assumed to fill the worker, runs beside
+ * others; and in wl_node.free, from which a pass also deducts what it withholds for units that
+ * wait for runs to stop, before those runs have freed it.
  */
 struct wl_available {
 	int64_t cores_m;
@@ -76,14 +78,22 @@
 	uint32_t percent;
 	int64_t percent_at;  /* when the worker last listed the run */
 	int64_t progress_at; /* when percent last changed */
-	/* First known progress and its time; a resumed run does not start at 0 percent. */
+	/*
+	 * Progress and time from which the progress rate is measured: 0 percent at running_at,
+	 * or for a run resumed from a checkpoint, which does not start at 0 percent, those of
+	 * the first report that lists it.
+	 */
 	uint32_t base_percent;
 	int64_t base_at;
 	/* Speed limit of the run in percent; always 100, as the core sends no pace orders. */
 	uint32_t pace_percent;
 	/* wl_run.figure of the last report; not used by the core. */
 	uint32_t measurement;
-	/* The worker that last failed or refused the task; used only if no other fits. */
+	/*
+	 * The last worker on which the task failed or stalled, or that answered its start
+	 * without running it. Its failure score counts as 1.0 higher for this task, so that
+	 * other workers are preferred unless their own score is higher still.
+	 */
 	const struct wl_node *avoid_node;
 	TAILQ_ENTRY(wl_task) on_node;
 };
@@ -103,6 +113,10 @@
 	uint32_t failures;
 	uint32_t failed_attempt;
 	int64_t ready_at;
+	/*
+	 * No waiting task of the unit is placed before this time. Each counted failure of one
+	 * task (or of the gang) sets it, from the failures of that task, for all of them.
+	 */
 	int64_t retry_at;
 	bool is_done;
 };
@@ -185,19 +199,21 @@
 	double failure_score; /* failure score as of failure_score_at; decays over time */
 	int64_t failure_score_at;
 	uint64_t report_serial; /* number of reports received */
-	/*
-	 * Highest wl_ended.number of a finished run that was processed, whose result is stored,
-	 * and that was handed out by wl_node_ends_stored to be acknowledged.
-	 */
+	/* Highest wl_ended.number of a finished run that was processed. */
 	uint64_t last_end_processed;
+	/* Highest wl_ended.number up to which the results of all finished runs are stored. */
 	uint64_t last_end_stored;
+	/* Highest number that wl_node_ends_stored has returned, to be acknowledged. */
 	uint64_t last_end_acked;
 	GArray *pending_ends;
 	GPtrArray *orphans;
 	struct wl_available free;	      /* unallocated; recomputed by each pass */
 	struct wl_available free_after_stops; /* free, plus what is being stopped */
 	bool usable;			      /* accepts new tasks in this pass */
-	/* Kept free for urgent jobs that may arrive. */
+	/*
+	 * Held back for urgent jobs: takes no new tasks of units that may not use the headroom.
+	 * Runs that it already has continue.
+	 */
 	bool headroom;
 	/*
 	 * Time from which resources are reserved for a waiting unit, 0 for none, and what the
