--- a/packages/workload/wl-place.c
+++ b/packages/workload/wl-place.c
@@ -161,9 +161,10 @@
 			if (u->step->gang)
 				break;
 			/*
-			 * All tasks request the same, so the next one would not fit either.
-			 * With an avoid_node it is tried all the same, although that only
-			 * raises the cost of a worker and excludes none.
+			 * All tasks request the same, so the next one will not fit either. If
+			 * this task has an avoid_node, the next one is tried nevertheless,
+			 * without need: avoid_node only raises the cost of a worker and
+			 * excludes none.
 			 */
 			if (t->avoid_node == NULL)
 				break;
@@ -294,7 +295,8 @@
 /*
  * Whether some rack, only the data's rack if there is one, could hold the unit if it were empty
  * and its workers reachable: all tasks of a gang or a rack-local step, else at least one task.
- * Also true if that is not known, while a node has not reported.
+ * Also true while any node awaits its report, but only if such a rack is known from the nodes
+ * that have reported; if none is known, returns false.
  */
 bool preferred_rack_possible(const struct wl *w, const struct wl_unit *u)
 {
