--- a/packages/workload/wl-pass.c
+++ b/packages/workload/wl-pass.c
@@ -2,8 +2,12 @@
 
 #include <inttypes.h>
 
-/* Units without a placement that may reserve resources in one pass, in scheduling order. */
-#define RESERVATIONS_MAX 3
+/*
+ * Units per pass, in scheduling order, for which schedule_unit tries to reserve resources by
+ * estimate because some of their tasks were not placed. A failed try counts too; tries of
+ * reserve_before_deadline don't.
+ */
+#define RESERVATION_TRIES_MAX 3
 /* A gang that has run incomplete for this long is stopped, to be restarted as a whole. */
 #define GANG_RESTART_DELAY (2 * NSEC_PER_SEC)
 /* Minimum interval between two requests to store new checkpoints of the same job. */
@@ -254,11 +258,13 @@
 }
 
 /*
- * Places a unit. Failing that, claims resources that are being freed, preempts other runs if
- * the unit is urgent, or reserves future resources.
+ * Places the tasks of a unit. If some remain, withholds resources that are being freed from the
+ * units later in the order (for a gang or an urgent unit), reserves the resources of runs
+ * that end in time or preempts runs (for a unit within its guarantee or an urgent one that
+ * would become late), or reserves future resources by estimate.
  */
 static void schedule_unit(
-	struct wl *w, struct candidate *c, int64_t now, unsigned int *reservations)
+	struct wl *w, struct candidate *c, int64_t now, unsigned int *reservation_tries)
 {
 	g_autoptr(GArray) plan = g_array_new(FALSE, FALSE, sizeof(struct placement));
 	struct wl_unit *u = c->unit;
@@ -271,7 +277,11 @@
 		g_array_set_size(plan, 0);
 	}
 	if (u->step->gang || u->job->priority == URGENT_PRIORITY) {
-		/* Resources being freed go to waiting units in scheduling order. */
+		/*
+		 * If all waiting tasks fit once the runs being stopped have ended, withhold
+		 * those resources from later units in this pass. Nothing is assigned: a later
+		 * pass places the tasks once the resources are free.
+		 */
 		if (try_placement(w, u, now, VIEW_AFTER_STOPS, plan) &&
 			plan->len == u->waiting_count) {
 			deduct_from_other_view(plan, VIEW_AFTER_STOPS);
@@ -287,10 +297,10 @@
 			return;
 		}
 	}
-	if (*reservations < RESERVATIONS_MAX) {
-		(*reservations)++;
+	if (*reservation_tries < RESERVATION_TRIES_MAX) {
+		(*reservation_tries)++;
 		reserve_resources(w, u, now, unit_may_spread(w, u, now), RESERVE_BY_ESTIMATE,
-			INT64_MAX - 1);
+			INT64_MAX - 1 /* no limit; INT64_MAX would mean the same */);
 	}
 }
 
@@ -313,7 +323,7 @@
 int64_t wl_pass(struct wl *w, int64_t now, int64_t wall)
 {
 	g_autoptr(GArray) order = g_array_new(FALSE, FALSE, sizeof(struct candidate));
-	unsigned int reservations = 0;
+	unsigned int reservation_tries = 0;
 	bool headroom_selected = false;
 	int64_t next = IDLE_PASS_INTERVAL;
 	struct wl_job *j;
@@ -346,7 +356,7 @@
 		w->may_use_headroom = c->unit->job->priority == URGENT_PRIORITY ||
 				      c->lateness > UNIT_ON_TIME || !c->can_defer ||
 				      now - c->unit->ready_at > HEADROOM_WAIT_MAX;
-		schedule_unit(w, c, now, &reservations);
+		schedule_unit(w, c, now, &reservation_tries);
 	}
 	return order->len > 0 ? MIN(next, WAITING_PASS_INTERVAL) : next;
 }
