--- a/packages/workload/wl-estimate.c
+++ b/packages/workload/wl-estimate.c
@@ -20,7 +20,7 @@
 #define RUN_TIME_VARIANCE_PRIOR 1.2
 /* Replaces smaller variances, which are also of natural logarithms. */
 #define VARIANCE_MIN 0.02
-/* Shorter run times are dominated by message latency. */
+/* Shorter run times, dominated by message latency, are recorded as this. */
 #define RUN_TIME_MIN (20 * NSEC_PER_MSEC)
 
 /* Statistics of a queue, over natural logarithms of run times in milliseconds. */
