--- a/packages/workload/wl-headroom.c
+++ b/packages/workload/wl-headroom.c
@@ -1,17 +1,18 @@
 #include "wl-private.h"
 
 /*
- * Headroom: workers that are kept free for urgent jobs. These arrive without notice, and
- * preempting other runs for them takes longer than they can wait. Units that are not urgent may
- * use the headroom too if they are late or close to missing their objective, or if they have
- * waited for HEADROOM_WAIT_MAX (wl-pass.c).
+ * Headroom: workers that are held back for urgent jobs. These arrive without notice, and
+ * preempting other runs for them takes longer than they can wait. The workers take no new tasks
+ * of other units, but continue the runs that they have. Units that are not urgent may use the
+ * headroom too if they are late or close to missing their objective, or if they have waited for
+ * HEADROOM_WAIT_MAX (wl-pass.c).
  */
 
 /* Weight of the newest job in the moving average of job sizes. */
 #define MEAN_SIZE_WEIGHT 0.1
 /* Size of the headroom, relative to the average urgent job. */
 #define HEADROOM_FACTOR 1.5
-/* Largest share of the workers that is kept free. */
+/* Largest share of the workers that is held back. */
 #define HEADROOM_SHARE_MAX 0.4
 
 /* Updates the average size of urgent jobs, in accelerators of the first step. */
@@ -47,7 +48,11 @@
 	return best;
 }
 
-/* Selects workers as headroom until they can hold HEADROOM_FACTOR average urgent jobs. */
+/*
+ * Selects workers as headroom, those with the most free accelerators first, until these add up
+ * to HEADROOM_FACTOR average urgent jobs or the workers to HEADROOM_SHARE_MAX. A worker without
+ * free accelerators counts as one, so the selected workers may all be busy.
+ */
 void headroom_select(struct wl *w)
 {
 	double needed = w->mean_urgent_size * HEADROOM_FACTOR;
