--- a/packages/workload/wl-run.c
+++ b/packages/workload/wl-run.c
@@ -10,7 +10,10 @@
  */
 #define ATTEMPTS_PER_TERM 256
 
-/* Retries start at once after the first failure, then after RETRY_DELAY << failures. */
+/*
+ * After the first failure of a task or gang, its unit may be placed again at once; after
+ * further ones only after RETRY_DELAY << failures, which delays all waiting tasks of the unit.
+ */
 #define RETRY_DELAY	(100 * NSEC_PER_MSEC)
 #define RETRY_DELAY_MAX (2 * NSEC_PER_SEC)
 /* A stop order whose run has not ended is sent again after this. */
