--- a/packages/workload/workload.h
+++ b/packages/workload/workload.h
@@ -67,7 +67,7 @@
 	uint32_t repetitions; /* 0: run once, immediately */
 	int64_t start_at_ms;
 	int64_t interval_ms;
-	int64_t accepted_ms; /* wall clock of the accepting entry process */
+	int64_t accepted_ms; /* wall clock of the entry process that accepted it */
 };
 
 enum wl_state {
@@ -312,8 +312,9 @@
 };
 
 /*
- * Entry to the coordinator's process: forward a request to the store. Used while the store
- * fails for the entry's own VM.
+ * From an entry process (one that accepts callers' HTTP requests on its VM) to the process of
+ * the coordinator: forward a request to the store. Used while the store fails for the entry
+ * process's own VM.
  */
 struct wl_store_call {
 	uint64_t number;
