--- a/packages/coordination/sched-hold.c
+++ b/packages/coordination/sched-hold.c
@@ -114,7 +114,7 @@
 		add_unused(s, h->org, p->worker, p->accelerators);
 	}
 	h->placed = true;
-	h->impossible_since = 0;
+	h->unplaced_since = 0;
 }
 
 /* Removes the placement of a hold and all charges to it. */
--- a/packages/coordination/sched-plan.c
+++ b/packages/coordination/sched-plan.c
@@ -242,8 +242,8 @@
 	for (guint i = 0; i < s->holds->len; i++) {
 		struct sched_hold *h = s->holds->pdata[i];
 
-		if (!h->placed && h->impossible_since == 0)
-			h->impossible_since = now;
+		if (!h->placed && h->unplaced_since == 0)
+			h->unplaced_since = now;
 	}
 }
 
@@ -384,7 +384,7 @@
 	hold_unplace(s, h);
 	capacities = list_holdable_free(s);
 	if (pack_hold(s, h, capacities)) {
-		s->counts.moved_holds++;
+		s->counts.holds_moved_to_free++;
 		return true;
 	}
 	hold_place(s, h, saved);
--- a/packages/coordination/sched-private.h
+++ b/packages/coordination/sched-private.h
@@ -13,8 +13,8 @@
  * are disjoint, and each consists of accelerators that are free, used by the organisation that
  * the guarantee belongs to (its owner) or used by preemptible borrowers. Together the
  * placements thus prove that all guarantees can be met at the same time. A borrower is a job
- * that can be stopped and is not charged to any hold. stale marks holds that a new
- * configuration has not yet confirmed.
+ * that can be stopped and is not charged to any hold, whatever accelerators it uses. stale
+ * marks holds that a new configuration has not yet confirmed.
  */
 struct sched_hold {
 	uint32_t org;
@@ -22,7 +22,8 @@
 	enum adjacency adjacency;
 	bool placed;
 	bool stale;
-	int64_t impossible_since;
+	/* When placing it first failed since it was last placed; 0 while placed. Not read. */
+	int64_t unplaced_since;
 	GArray *pieces;
 };
 
@@ -139,6 +140,7 @@
 	uint32_t declared_workers;
 	uint32_t declared_workers_per_rack;
 	uint32_t declared_accelerators;
+	/* No job is placed; see sched_set_settling. */
 	bool settling;
 	/* Set when a scheduling pass may place more than the last one; not read. */
 	bool dirty;
--- a/packages/coordination/sched.c
+++ b/packages/coordination/sched.c
@@ -9,7 +9,7 @@
 #define BACKOFF_MAX  (60 * NSEC_PER_SEC)
 /* Delay before a job is tried again after an attempt of which no member started. */
 #define NOT_STARTED_BACKOFF (200 * NSEC_PER_MSEC)
-/* Not used. */
+/* Neither of these two is used. */
 #define SHAPES_KEPT   1000
 #define RETRY_LATER_S 5
 
@@ -432,11 +432,12 @@
 
 /*
  * Adopts a job: adds one that is already running, as reported by the agents to a new
- * coordinator. The job is stopped if some of its members are missing. Its recorded reason is
- * SCHED_REASON_FREE, as the reason for which it was placed is not known.
+ * coordinator; run_time is how long it has been running. The job is stopped if some of its
+ * members are missing. Its recorded reason is SCHED_REASON_FREE, as the reason for which it was
+ * placed is not known.
  */
 job_ref sched_adopt(struct sched *s, int64_t now, const struct job_spec *spec, void *owner,
-	uint32_t attempt, const struct sched_member *members, uint32_t len, int64_t running)
+	uint32_t attempt, const struct sched_member *members, uint32_t len, int64_t run_time)
 {
 	struct sched_job *j = add_job(s, now, spec, owner);
 	struct fit f = {.len = len};
@@ -448,8 +449,8 @@
 	j->estimate = learn_estimate(s, j);
 	j->attempt = attempt;
 	j->ran = attempt > 1 && j->idempotent;
-	j->submitted = now - running;
-	j->started_at = now - running;
+	j->submitted = now - run_time;
+	j->started_at = now - run_time;
 	j->placed_at = j->started_at;
 	j->state = SCHED_JOB_RUNNING;
 	j->decision = (struct sched_decision){.why = SCHED_REASON_FREE, .at = now};
@@ -714,7 +715,10 @@
 	queue_pass(s, now);
 }
 
-/* While set, nothing is placed, as a new coordinator does not yet know which jobs run. */
+/*
+ * While set, no scheduling pass runs, so no job is placed. A new coordinator sets it until it
+ * knows which jobs run, and a coordinator that is about to stop sets it for good.
+ */
 void sched_set_settling(struct sched *s, bool settling)
 {
 	s->settling = settling;
--- a/packages/coordination/sched.h
+++ b/packages/coordination/sched.h
@@ -11,6 +11,12 @@
  *
  * Times are monotonic, in nanoseconds. Jobs, workers and organisations are referred to by
  * index.
+ *
+ * A hold is one guaranteed shape of an organisation (a number of accelerators and the adjacency
+ * that they must have) with the placement reserved for it, if there is one; it is not a job
+ * that is held back. A borrower is a job that can be stopped and is not charged to any hold. It
+ * may belong to any organisation, and its accelerators may or may not be guaranteed to
+ * somebody.
  */
 
 typedef uint32_t job_ref;
@@ -73,6 +79,7 @@
 	SCHED_REASON_QUOTA,
 	SCHED_REASON_BACKOFF,
 	SCHED_REASON_UNSTOPPABLE,
+	/* No job is placed for now; see sched_set_settling. */
 	SCHED_REASON_SETTLING,
 	SCHED_REASON_PREEMPTED
 };
@@ -199,7 +206,8 @@
 	uint64_t preempted;
 	/* Jobs for which borrowers were stopped, within or outside of a guarantee. */
 	uint64_t claims;
-	uint64_t moved_holds;
+	/* Unused holds that plan_move_to_free moved; moves for other reasons do not count. */
+	uint64_t holds_moved_to_free;
 	/* Jobs that ended with not_run: rejected, or cancelled or expired before they ran. */
 	uint64_t refused;
 	uint64_t quarantined;
@@ -215,8 +223,9 @@
 void sched_worker_drain(struct sched *s, uint32_t worker, bool draining);
 void sched_worker_restrict(struct sched *s, uint32_t worker, bool restricted);
 job_ref sched_submit(struct sched *s, int64_t now, const struct job_spec *spec, void *owner);
+/* run_time is how long the job has been running. */
 job_ref sched_adopt(struct sched *s, int64_t now, const struct job_spec *spec, void *owner,
-	uint32_t attempt, const struct sched_member *members, uint32_t len, int64_t running);
+	uint32_t attempt, const struct sched_member *members, uint32_t len, int64_t run_time);
 void sched_cancel(struct sched *s, int64_t now, job_ref job);
 void sched_started(struct sched *s, int64_t now, job_ref job, uint32_t attempt);
 void sched_attempt_withdrawn(struct sched *s, int64_t now, job_ref job, uint32_t attempt);
@@ -230,6 +239,10 @@
 const struct sched_counts *sched_counts(const struct sched *s);
 size_t sched_queued_count(const struct sched *s);
 size_t sched_active_count(const struct sched *s);
+/*
+ * While settling is set, no job is placed: a new coordinator does not yet know which jobs run,
+ * or the coordinator is about to stop.
+ */
 void sched_set_settling(struct sched *s, bool settling);
 
 /* sched-view.c: read-only views for operators and tests. */
@@ -261,6 +274,10 @@
 	uint32_t workers;
 	uint32_t accelerators;
 	uint32_t free;
+	/*
+	 * Most free accelerators on any one worker and in any one rack. Like free, they count
+	 * only workers that are up and neither draining nor quarantined.
+	 */
 	uint32_t largest_worker;
 	uint32_t largest_rack;
 	/* Time since the submission of the queued job that was submitted first; 0 if none. */
