--- a/packages/coordination/sched-claim.c
+++ b/packages/coordination/sched-claim.c
@@ -66,8 +66,9 @@
 }
 
 /*
- * Returns whether a job is a borrower that has resources in use: one that can be stopped and is
- * not charged to a hold. It may use only accelerators that nobody is guaranteed.
+ * Returns whether a job is a borrower that has resources in use: one that can be stopped, is
+ * not charged to a hold and does not itself wait for borrowers to stop. It does not matter
+ * whether the accelerators that it uses are guaranteed to anybody.
  */
 static bool is_borrower(const struct sched_job *j)
 {
