--- a/packages/coordination/sched-queue.c
+++ b/packages/coordination/sched-queue.c
@@ -7,7 +7,8 @@
  * The queue is ordered by urgency and then by a key that is computed when a job is queued: its
  * arrival time plus a multiple of its expected run time and an offset for its class. Of jobs
  * that arrive together, short ones come first. As the keys of later arrivals grow with time, no
- * job starves.
+ * job is overtaken forever by jobs of the same urgency. Urgent jobs always come first, so a
+ * steady stream of them can starve the others.
  */
 
 /* Multiple of the expected run time that is added to the key at a completion weight of 1. */
@@ -128,7 +129,11 @@
 static void claim_guarantees(struct sched *s, int64_t now, uint32_t org)
 {
 	uint32_t unused = org_unused_total(s, org);
-	uint32_t smallest_unplaced = UINT32_MAX;
+	/*
+	 * Size of the smallest job with ADJACENCY_ANY that could not be started in this pass;
+	 * jobs of at least this size are skipped.
+	 */
+	uint32_t smallest_failed = UINT32_MAX;
 	GPtrArray *list;
 
 	if (unused == 0)
@@ -138,12 +143,12 @@
 		struct sched_job *j = list->pdata[i];
 
 		if (j->accelerators == 0 || j->accelerators > unused ||
-			(j->accelerators >= smallest_unplaced) || !is_eligible(s, now, j))
+			(j->accelerators >= smallest_failed) || !is_eligible(s, now, j))
 			continue;
 		if (claim_start(s, now, j))
 			unused = org_unused_total(s, org);
 		else if (j->adjacency == ADJACENCY_ANY)
-			smallest_unplaced = MIN(smallest_unplaced, j->accelerators);
+			smallest_failed = MIN(smallest_failed, j->accelerators);
 	}
 	g_ptr_array_unref(list);
 }
