--- a/packages/coordination/sched-fit.c
+++ b/packages/coordination/sched-fit.c
@@ -355,22 +355,22 @@
 {
 	uint32_t *rack_free = xcalloc(s->racks->len, sizeof(*rack_free));
 	double unusable = 0;
-	uint32_t all = 0;
-	uint32_t total = 0;
+	uint32_t capacity = 0;
+	uint32_t free_total = 0;
 
 	for (uint32_t i = 0; i < s->workers->len; i++) {
 		const struct sched_worker *w = sched_worker_at(s, i);
 
 		if (!w->up)
 			continue;
-		all += (uint32_t)w->capacity.accelerators;
-		total += free_count(w);
+		capacity += (uint32_t)w->capacity.accelerators;
+		free_total += free_count(w);
 		rack_free[w->rack] += free_count(w);
 		unusable += worker_unusable(s, free_count(w));
 	}
 	for (uint32_t r = 0; r < s->racks->len; r++)
 		unusable += rack_unusable(s, rack_free[r]);
-	unusable += total * demand_part_above(s, ADJACENCY_ANY, total);
+	unusable += free_total * demand_part_above(s, ADJACENCY_ANY, free_total);
 	free(rack_free);
-	return all > 0 ? unusable / all : 0;
+	return capacity > 0 ? unusable / capacity : 0;
 }
