--- a/packages/daemon/entry-private.h
+++ b/packages/daemon/entry-private.h
@@ -6,13 +6,14 @@
 /* Times named ..._at and ..._since are in nanoseconds on the loop's clock. */
 
 /*
- * The configuration and the live cells and entries. Published by RCU, so that HTTP threads
- * read it without a lock.
+ * The configuration, the cells and the number of running entries, as last loaded from the
+ * store. Published by RCU, so that HTTP threads read it without a lock.
  */
 struct entry_view {
 	struct doc *doc;
 	struct config_snapshot config;
-	GPtrArray *cells;	/* of struct cell_term */
+	/* Of struct cell_term: each cell with a term key, even if no agent holds the term. */
+	GPtrArray *cells;
 	uint32_t entries_count; /* entries that hold a lease */
 };
 
@@ -44,6 +45,10 @@
 	bool sent; /* a coordinator may have received the job */
 	bool accepted;
 	uint64_t last_term; /* term that it was last sent to */
+	/*
+	 * Both timeouts of the entry count from here: the request's arrival or, if a
+	 * coordinator returned the job, the last time that one did.
+	 */
 	int64_t waiting_since;
 	int64_t deadline_at;
 	struct open_job *next_same_id; /* another request for the same job id */
