--- a/packages/daemon/entry-config.c
+++ b/packages/daemon/entry-config.c
@@ -5,9 +5,11 @@
 #include <string.h>
 
 /*
- * Follows the configuration and the live keys in the store. A watch triggers a reload on each
- * change; a periodic poll covers changes that a broken watch misses. An older configuration
- * never replaces a newer one.
+ * Follows the configuration and the live keys in the store. The live keys are all keys below
+ * LIVE_PREFIX, whether or not they are attached to a lease, see STORE_PREFIX. A watch on them
+ * triggers a reload on each change. It also sees each edit of the configuration, which rewrites
+ * the live key "head", the list of sections. A periodic poll covers changes that a broken watch
+ * misses. An older configuration never replaces a newer one.
  */
 
 #define LIVE_PREFIX	      STORE_PREFIX "live/"
@@ -204,8 +206,7 @@
 		struct store_range r;
 		int64_t from;
 
-		/* The key of the list of sections, read only for the store's current revision.
-		 */
+		/* Only for the store's current revision; the value is not used. */
 		if (!store_get_range(e->p->store, LIVE_PREFIX "head", true, &r, NULL)) {
 			nanosleep(&retry_delay, NULL);
 			continue;
