--- a/packages/daemon/agent-host.c
+++ b/packages/daemon/agent-host.c
@@ -71,7 +71,10 @@
 		coord_set_store_up(a->host.coord, loop_now(a->p->loop), up);
 }
 
-/* Renews the lease. Runs on the pool. */
+/*
+ * Renews the lease or, if it has expired and the term is not lost, takes a new lease for the
+ * same term. Runs on the pool.
+ */
 static void lease_renew_run(void *arg)
 {
 	struct coord_store_call *call = arg;
@@ -80,7 +83,7 @@
 		call->agent->lease_ns / NSEC_PER_SEC, &call->cell_term, &call->err);
 }
 
-/* A conflict means that the store responded: another agent took the term. */
+/* A conflict is an answer of the store, so the store is up: this agent has lost the term. */
 static void lease_renew_done(void *arg)
 {
 	struct coord_store_call *call = arg;
@@ -91,10 +94,11 @@
 		set_store_up(
 			a, call->ok || error_kind_of(call->err) == ERR_CONFLICT, call->err);
 		if (call->ok) {
+			/* A new id if the old lease had expired. */
 			a->host.term.lease = call->cell_term.lease;
 			a->host.lease_renewed_at = loop_now(a->p->loop);
 		} else if (error_kind_of(call->err) == ERR_CONFLICT) {
-			host_step_down(a, "another agent holds the lease");
+			host_step_down(a, "the lease renewal found the term lost");
 		}
 	}
 	coord_store_call_free(call);
@@ -147,14 +151,18 @@
 		if (call->ok)
 			coord_roster_saved(a->host.coord, call->roster);
 		else if (error_kind_of(call->err) == ERR_CONFLICT)
-			host_step_down(a, "another agent holds the term");
+			host_step_down(a, "the roster save found the term lost");
 		else
 			a->host.write_retry_at = loop_now(a->p->loop) + WRITE_RETRY_DELAY_NS;
 	}
 	coord_store_call_free(call);
 }
 
-/* Loads the configuration and parses it if its number changed. Runs on the pool. */
+/*
+ * Loads the configuration and parses it if its number changed. It is also parsed if the number
+ * was 0 before: at the first load of a term, and at every poll while the store has no
+ * configuration. Runs on the pool.
+ */
 static void config_load_run(void *arg)
 {
 	struct coord_store_call *call = arg;
