--- a/packages/daemon/agent-link.c
+++ b/packages/daemon/agent-link.c
@@ -97,7 +97,9 @@
 
 /*
  * Connects to the holder of the term, or hosts the coordinator if this agent took the term. If
- * the store fails, every other attempt dials the last known address. Runs on the loop.
+ * the term cannot be read, dials the last known address if link.failures is even; otherwise
+ * only schedules a retry. Such a dial adds 1 to link.failures and its failure adds 1 more, so
+ * the count stays even and the next failed read dials again. Runs on the loop.
  */
 static void lookup_done(void *arg)
 {
