--- a/packages/daemon/entry-job.c
+++ b/packages/daemon/entry-job.c
@@ -191,9 +191,14 @@
 static void check_timeout(struct open_job *j, int64_t now)
 {
 	struct entry *e = j->entry;
-	bool no_coordinator = !j->sent && now - j->waiting_since > e->coordinator_timeout_ns;
-
-	if (no_coordinator) {
+	/*
+	 * A job is sent once its cell's coordinator has sent its welcome. A job that a
+	 * coordinator returned is sent again only on the next welcome, so it can time out here
+	 * too.
+	 */
+	bool unsent_too_long = !j->sent && now - j->waiting_since > e->coordinator_timeout_ns;
+
+	if (unsent_too_long) {
 		http_reply_problem(j->request, ERR_NO_COORDINATOR,
 			"the cell has no coordinator; the job was not handed over", NULL);
 		close_job(j);
