--- a/packages/daemon/entry-query.c
+++ b/packages/daemon/entry-query.c
@@ -116,7 +116,10 @@
 	return a->request != 0;
 }
 
-/* Closes queries that timed out; gathered ones are answered with the replies so far. */
+/*
+ * Answers and closes the queries that timed out; those sent to all cells are answered with the
+ * replies received so far.
+ */
 void queries_check_timeouts(struct entry *e, int64_t now)
 {
 	g_autoptr(GPtrArray) expired = g_ptr_array_new();
