--- a/packages/daemon/agent-private.h
+++ b/packages/daemon/agent-private.h
@@ -65,7 +65,10 @@
 	bool ready;
 	struct link link;
 	struct host host;
-	/* Connections dialled to agents of shared gangs: address to peer_id. */
+	/*
+	 * Connections dialled to send heartbeats of gangs. An agent that runs a gang's member
+	 * other than member 0 dials the agent that runs member 0. Address to peer_id.
+	 */
 	GHashTable *gang_peers;
 	/* Peers of the hosted coordinator: a set of peer_id. */
 	GHashTable *coord_peers;
