--- a/packages/coordination/coord-settle.c
+++ b/packages/coordination/coord-settle.c
@@ -27,8 +27,9 @@
 }
 
 /*
- * Whether every agent that an earlier term may have told to start a job is connected, and none
- * has restarted or died since the job was submitted.
+ * Whether every agent that an earlier term may have told to start a job has sent an inventory,
+ * and none has restarted or died since the job was submitted. An agent that has lost its
+ * connection since counts as present until it connects again or is declared dead.
  */
 bool settle_all_agents_present(struct coord *c, const struct job_spec *spec)
 {
@@ -46,8 +47,9 @@
 
 /*
  * Whether the agents on which a job was placed ("NAME/INCARNATION,...") have all sent an
- * inventory and have not restarted. The inventories are not searched for the job: the listed
- * members have been settled before, so a job that is still uncertain has not started there.
+ * inventory and have not restarted or died. The inventories are not searched for the job: the
+ * listed members have been settled before, so a job that is still uncertain has not started
+ * there.
  */
 static bool all_placed_agents_present(struct coord *c, const char *placed)
 {
@@ -65,7 +67,11 @@
 	return parts[0] != NULL;
 }
 
-/* Handle a member listed as ended as if its MSG_ENDED had just arrived. */
+/*
+ * Handle a member listed as ended with a MSG_ENDED made from the list. It has no checkpoint, as
+ * inventories don't contain any: the job keeps the one it has, if any, and the scheduler is
+ * told that no run time was saved.
+ */
 static void replay_member_end(
 	struct coord *c, int64_t now, struct coord_agent *a, struct member_record *r)
 {
@@ -127,7 +133,8 @@
 
 /*
  * Note in the list that a listed member has ended whose job has not been settled yet; settling
- * the job handles and acknowledges the end. False if the list does not have the member.
+ * the job handles and acknowledges the end. False if the list does not have the member. A
+ * checkpoint in the message is dropped.
  */
 bool settle_update_listed_end(
 	struct coord *c, const struct coord_agent *a, const struct msg_ended *m)
@@ -252,7 +259,10 @@
 	}
 }
 
-/* Take over a job that has started; one with missing members is stopped. */
+/*
+ * Take over a job that has started; one with missing members is stopped. Its members are stored
+ * in the order of the group, so their index is not their member number.
+ */
 static void adopt_job(struct coord *c, int64_t now, struct coord_job *j, GPtrArray *group)
 {
 	struct sched_member members[SCHED_MEMBERS_MAX] = {0};
@@ -353,7 +363,9 @@
  *   scheduler; but if it is not idempotent and the group is incomplete, an unlisted member may
  *   have started, and settle_uncertain_jobs decides;
  * - a job that has started is adopted, if the scheduler knows the workers of all members;
- * - otherwise the members are stopped.
+ * - otherwise the members are stopped and the job stays in the table. settle_uncertain_jobs
+ *   decides on it if may_have_started is already set; with a job that was just added here,
+ *   nothing more happens at later ticks unless an inventory lists its members again.
  */
 static void settle_group(struct coord *c, int64_t now, GPtrArray *group)
 {
@@ -483,8 +495,9 @@
 
 /*
  * Finish the settling phase once all agents of the previous roster have sent their inventory,
- * or after COORD_SETTLE_TIMEOUT_NS. After that, settle at each call the jobs of members that
- * were listed since, and those that are still uncertain.
+ * or after COORD_SETTLE_TIMEOUT_NS. With an empty roster, as in a new cell, it always lasts
+ * until the timeout. After that, settle at each call the jobs of members that were listed
+ * since, and those that are still uncertain.
  */
 void settle_advance(struct coord *c, int64_t now)
 {
