--- a/packages/coordination/coord-private.h
+++ b/packages/coordination/coord-private.h
@@ -51,13 +51,13 @@
 	bool dead;
 	bool suspected;
 	int64_t last_seen;
-	uint32_t busy;
+	uint32_t busy;		  /* accelerators in use, from the last heartbeat; never read */
 	uint32_t usage_percent;	  /* as announced by the upstream; only shown in queries */
 	uint64_t config_revision; /* config_number that the agent has confirmed last */
 	struct msg_report report;
 };
 
-/* A member of the current attempt of a job, as far as its agent was told and has answered. */
+/* A member of a job's current attempt: what its agent was told about it and has answered. */
 struct coord_member {
 	struct coord_agent *agent;
 	uint64_t incarnation;
@@ -79,11 +79,15 @@
 	bool ended;
 	uint32_t attempt; /* the current or latest attempt */
 	uint32_t size;	  /* number of members of the attempt; 0 after it was aborted */
+	/*
+	 * The members of the attempt. The index is the member number if this coordinator placed
+	 * the attempt; in an adopted job it is the order in which the members were listed.
+	 */
 	struct coord_member members[SCHED_MEMBERS_MAX];
 	int64_t reserve_deadline;
 	bool write_before_start; /* dispatched only once its record is written */
 	GArray *waiters;	 /* peer_id of entries that wait for the result */
-	GArray *acks;		 /* struct coord_ack, sent once the record is written */
+	GArray *acks;		 /* struct coord_ack, sent once the result is stored */
 	struct job_result result;
 	struct bytes checkpoint;
 	char *explanation;
@@ -104,7 +108,10 @@
 	TAILQ_ENTRY(coord_job) ended_entry;
 };
 
-/* An agent that waits for the acknowledgement of a MSG_ENDED. */
+/*
+ * An agent that waits for the acknowledgement of a MSG_ENDED of a durable job. It is sent once
+ * the job has ended and its record with the result is written.
+ */
 struct coord_ack {
 	peer_id peer;
 	uint32_t attempt;
