--- a/packages/coordination/coord-run.c
+++ b/packages/coordination/coord-run.c
@@ -268,7 +268,11 @@
 	sched_started(c->sched, now, j->ref, j->attempt);
 }
 
-/* Acknowledge the end of a member: at once, or for a durable job once its record is written. */
+/*
+ * Acknowledge the end of a member: at once, or for a durable job once the whole job has ended
+ * and its record with the result is written. An attempt that failed or was preempted thus stays
+ * unacknowledged through all later attempts.
+ */
 static void acknowledge_end(
 	struct coord *c, struct coord_agent *a, struct coord_job *j, const struct msg_ended *m)
 {
@@ -299,8 +303,9 @@
 
 /*
  * Handle the end of a member: keep its result, hand the end to the scheduler and acknowledge
- * it. The scheduler is told how much run time a checkpoint saves; the time since submission is
- * passed for that, which includes the time that the job has waited.
+ * it. The member is looked up by its agent, as the index in j->members is not always the member
+ * number. The scheduler is told how much run time a checkpoint saves; the time since submission
+ * is passed for that, which includes the time that the job has waited.
  */
 void run_end_member(
 	struct coord *c, int64_t now, struct coord_agent *a, const struct msg_ended *m)
