--- a/packages/coordination/coord-job.c
+++ b/packages/coordination/coord-job.c
@@ -149,8 +149,8 @@
 }
 
 /*
- * Give a job back to its entry, which submits it to the next coordinator as a new one. No agent
- * may know of the job.
+ * Give a job back to its entry, which submits it to the next coordinator as a new one. The
+ * caller makes sure that no attempt of the job can have started.
  */
 static void send_returned(struct coord *c, const char *id, peer_id peer)
 {
@@ -161,8 +161,9 @@
 }
 
 /*
- * Prepare for a planned stop: place no more jobs, and return those that are not durable and
- * have never been sent to an agent to the entries that wait for them. Returns the number of
+ * Prepare for a planned stop: place no more jobs, and return the queued ones to the entries
+ * that wait for them, except durable jobs and those of which an ended attempt may have started.
+ * A job whose reservations were refused or released is returned as well. Returns the number of
  * answers sent.
  */
 size_t coord_hand_over_queued(struct coord *c)
@@ -172,6 +173,7 @@
 	size_t sent = 0;
 
 	c->handing_over = true;
+	/* Stops placement as the settling phase does, which queued jobs show as the reason. */
 	sched_set_settling(c->sched, true);
 	g_hash_table_iter_init(&it, c->jobs);
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
@@ -393,7 +395,7 @@
 	memset(b, 0, sizeof(*b));
 }
 
-/* Send the acknowledgements that waited for the record of a job. */
+/* Send the acknowledgements that waited until a job's record with its result was written. */
 static void send_acks(struct coord *c, struct coord_job *j)
 {
 	for (guint i = 0; i < j->acks->len; i++) {
