--- a/packages/coordination/coord.h
+++ b/packages/coordination/coord.h
@@ -44,11 +44,15 @@
  * give back.
  */
 size_t coord_hand_over_queued(struct coord *c);
+/*
+ * Whether an agent other than self is connected and takes work. The process of an agent can
+ * also run the coordinator, so that agent can become the next coordinator of the cell.
+ */
 bool coord_has_successor(struct coord *c, const char *self);
 /*
- * Returns the number of jobs that a planned stop waits for if no other agent can take over:
- * jobs whose reservations were sent and that have not ended, and jobs with an unsent
- * acknowledgement.
+ * Returns the number of jobs that a planned stop waits for if no other agent can become
+ * the coordinator: jobs whose reservations were sent and that have not ended, and jobs with an
+ * unsent acknowledgement.
  */
 size_t coord_unfinished_jobs(const struct coord *c);
 
@@ -64,10 +68,14 @@
 void coord_batch_clear(struct coord_batch *b);
 
 /*
- * The roster of agents, "NAME/INCARNATION,...". An agent's worker gets jobs that are not
- * idempotent only once the daemon has stored a roster that lists the agent.
+ * The roster as text, "NAME/INCARNATION,-NAME/INCARNATION@WALL_MS,...". Items without a minus
+ * sign are agents, among them those of the previous roster that have not connected yet. Items
+ * with one are incarnations that have died or restarted, and when. An agent's worker gets jobs
+ * that are not idempotent only once the daemon has stored a roster that has the agent's current
+ * incarnation without a minus sign.
  */
 char *coord_roster(const struct coord *c);
+/* Whether the roster differs from the stored one; always false in the settling phase. */
 bool coord_roster_changed(const struct coord *c);
 void coord_roster_saved(struct coord *c, const char *roster);
 void coord_set_store_up(struct coord *c, int64_t now, bool up);
