--- a/packages/coordination/coord.c
+++ b/packages/coordination/coord.c
@@ -195,7 +195,7 @@
 	return c->settled;
 }
 
-/* Whether an agent other than self is connected and takes work, so that it can take over. */
+/* Whether another agent than self is connected and takes work, so that it can coordinate. */
 bool coord_has_successor(struct coord *c, const char *self)
 {
 	GHashTableIter it;
@@ -434,7 +434,7 @@
 	return text;
 }
 
-/* Whether the saved roster is out of date. */
+/* Whether the settling phase is over and the saved roster is out of date. */
 bool coord_roster_changed(const struct coord *c)
 {
 	g_autofree char *roster = coord_roster(c);
