--- a/packages/coordination/coord-agent.c
+++ b/packages/coordination/coord-agent.c
@@ -254,8 +254,9 @@
 }
 
 /*
- * Handle the loss of an agent's connection: its worker gets no new work until the agent
- * reconnects or is declared dead.
+ * Handle the loss of an agent's connection: its worker gets no new work until the agent has
+ * reconnected, has sent its report and inventory, and takes work. If the agent is declared dead
+ * before that, its worker is taken out of service.
  */
 void agent_lost(struct coord *c, int64_t now, struct coord_agent *a)
 {
