--- a/packages/daemon/wl-worker-order.c
+++ b/packages/daemon/wl-worker-order.c
@@ -145,8 +145,8 @@
 }
 
 /*
- * The worker's answer to a start, as it is reported to the coordinator: REFUSED_OLD for an
- * attempt that is too old, REFUSED_ROOM for a lack of capacity.
+ * The worker's answer to a start, as it is reported to the coordinator. Refusals that have no
+ * answer of their own are reported as WL_ANSWER_REFUSED_OTHER.
  */
 static enum wl_answer start_answer(enum pf_reply_kind k)
 {
@@ -186,7 +186,7 @@
 
 	counter_add(&starts_total, 1);
 	s->call_pending = true;
-	s->send_count++;
+	s->sends_used++;
 	s->last_try_at = worker_now(w);
 	worker_send_call(w,
 		pf_worker_start(w->p->settings.worker_addr, w->heartbeat.id, w->term, deadline,
@@ -198,11 +198,12 @@
 static void handle_unanswered_start(struct wl_worker *w, struct pending_start *s)
 {
 	int64_t deadline = worker_lease_deadline(w);
-	bool again = s->send_count < ORDER_SENDS_MAX && deadline != 0 && s->term == w->term;
+	bool again = s->sends_used < ORDER_SENDS_MAX && deadline != 0 && s->term == w->term;
 
 	counter_add(&starts_unanswered, 1);
+	/* After an order to stop the run, sends= may be too high: see sends_used. */
 	event_log(EV_START_UNSURE, "task=%s attempt=%u sends=%u again=%d", s->task, s->attempt,
-		s->send_count, again);
+		s->sends_used, again);
 	if (again)
 		start_send(w, s, deadline);
 	else
@@ -210,13 +211,14 @@
 }
 
 /*
- * Whether a start that the worker refuses as a stale attempt may have run: it was sent before,
- * so the worker may have run it then. The coordinator has to get the end of that run, with the
- * worker's next lists, before the start is reported as refused.
+ * Whether a start that the worker refuses as a stale attempt may have run: it was sent more
+ * than once, so the worker may have run it after an earlier send. An order to stop the run has
+ * the same effect after a single send, as it raises sends_used. The coordinator has to get the
+ * end of that run, with the worker's next lists, before the start is reported as refused.
  */
 static bool may_have_run(const struct pending_start *s, enum pf_reply_kind k)
 {
-	return k == PF_REPLY_STALE_ATTEMPT && s->send_count > 1;
+	return k == PF_REPLY_STALE_ATTEMPT && s->sends_used > 1;
 }
 
 static void start_done(struct http_call *c, void *arg)
@@ -280,7 +282,10 @@
 	}
 }
 
-/* Ignores the answer: the worker's lists show the effect. */
+/*
+ * Ignores the answer: an order that fails is not sent again here, and the worker's lists don't
+ * hold a run's speed limit.
+ */
 static void pace_done(struct http_call *c, void *arg)
 {
 	struct worker_call *wc = arg;
@@ -370,7 +375,7 @@
 		struct pending_start *start = w->pending_starts->pdata[i];
 
 		if (start->attempt == o->attempt && strcmp(start->task, o->task) == 0)
-			start->send_count = ORDER_SENDS_MAX;
+			start->sends_used = ORDER_SENDS_MAX;
 	}
 	s = xcalloc(1, sizeof(*s));
 	s->task = xstrdup(o->task);
--- a/packages/daemon/wl-worker-private.h
+++ b/packages/daemon/wl-worker-private.h
@@ -19,10 +19,15 @@
 	char *payload;
 	char *checkpoint;
 	char *ticket; /* from the approval service; the worker checks it */
-	unsigned int send_count;
 	/*
-	 * When the start was last sent. Set again when a stop that was to void it has failed;
-	 * for a start that this process never sent, when it began to void it.
+	 * Counts the sends against ORDER_SENDS_MAX. An order to stop the run sets it to that
+	 * limit, so that the start isn't sent again; it is then no longer the number of sends.
+	 */
+	unsigned int sends_used;
+	/*
+	 * When the start was last sent. Set again when a stop that was to void it has failed.
+	 * For a start that this process never sent: when this process sent the stop that is to
+	 * void the start.
 	 */
 	int64_t last_try_at;
 	bool outcome_unknown; /* to be found out from the worker's lists */
