--- a/packages/daemon/wl-worker.c
+++ b/packages/daemon/wl-worker.c
@@ -18,7 +18,10 @@
 #define RENEWAL_RETRY_DELAY (250 * NSEC_PER_MSEC)
 /* Time for the coordinator to store ended runs before the lists are requested again. */
 #define ENDS_STORE_DELAY (150 * NSEC_PER_MSEC)
-/* A worker that has sent no heartbeat for this long is considered gone. */
+/*
+ * While the worker has sent no heartbeat for this long, its leases are not renewed and its
+ * lists not requested. It is not reported as having left, and its instance is kept.
+ */
 #define HEARTBEAT_TIMEOUT (8 * NSEC_PER_SEC)
 
 static void renew_and_list(struct wl_worker *w);
@@ -340,8 +343,9 @@
 }
 
 /*
- * Stops the server and frees the client. If calls are under way, the memory stays; the answer
- * to a renewal then calls this again and frees it, if no other call is left.
+ * Stops the server and frees the client. If calls are under way, the memory is not freed here.
+ * The end of a pending renewal then calls this again. If other calls are still under way by
+ * then, or no renewal is pending, the memory is never freed.
  */
 void wl_worker_free(struct wl_worker *w)
 {
