--- a/packages/daemon/wl-agent.c
+++ b/packages/daemon/wl-agent.c
@@ -6,8 +6,10 @@
 
 /*
  * The agent of a VM: connects its worker to the coordinator whose address is in the store, and
- * campaigns to become the coordinator if there is none. While the coordinator answers, the
- * agent itself makes no calls to the store.
+ * campaigns to become the coordinator if there is none. The agent itself begins to call
+ * the store only while it needs a coordinator (see needs_coordinator): without a link to one,
+ * or while one in another process still answers, but the store last confirmed its term longer
+ * than TERM_AGE_MAX ago.
  */
 
 COUNTER(takeovers_total, "damaskpath_takeovers_total", "Terms taken by this process.");
