--- a/packages/daemon/wl-entry-job.c
+++ b/packages/daemon/wl-entry-job.c
@@ -14,8 +14,11 @@
 /* A configuration verified this long before a call's arrival still counts as current. */
 #define CONFIG_VERIFY_SLACK (300 * NSEC_PER_MSEC)
 /*
- * Most tries of a call. Each store call without success counts, and so does a routing by a new
- * configuration. A submission is given up earlier, after the second write without an answer.
+ * Most tries of a call. A try is a failed write of a job or of a cancellation, or a failed read
+ * of the state of a job to cancel. A write that fails because the configuration has changed
+ * counts once; the routing that follows does not count. Other failed reads (of a state that is
+ * asked for, of queue depths, of the configuration) don't count either. A submission is given
+ * up earlier, after the second write without an answer.
  */
 #define STORE_TRIES_MAX 6
 /*
