--- a/packages/daemon/wl-entry.c
+++ b/packages/daemon/wl-entry.c
@@ -12,7 +12,10 @@
  */
 #define READY_CONFIG_AGE_MAX (1000 * NSEC_PER_MSEC)
 #define READY_CHECK_PERIOD   (100 * NSEC_PER_MSEC)
-/* The longest time for a call; its caller may give an earlier deadline. */
+/*
+ * The longest time for a call. If its caller gives a timeout, that less REPLY_MARGIN applies if
+ * it is shorter; a caller's timeout of REPLY_MARGIN or less is ignored.
+ */
 #define CALL_TIMEOUT (2500 * NSEC_PER_MSEC)
 /* Part of the caller's deadline that is reserved for the answer to arrive. */
 #define REPLY_MARGIN (150 * NSEC_PER_MSEC)
