--- a/packages/daemon/wl-coord-inbox.c
+++ b/packages/daemon/wl-coord-inbox.c
@@ -6,13 +6,13 @@
 
 /*
  * What the coordinator reads from the store: first all nodes, progress records and inbox items,
- * page by page, then a watch on the inbox prefix, which holds the jobs and cancellations that
- * entries write.
+ * page by page, then a watch on the inbox prefix. It holds the jobs and cancellations that
+ * entries write, and the term's key: a newer revision of that ends this coordinator's term.
  */
 
 /*
- * A watch without events is ended after this time and replaced, which is cheap: its connection
- * may be dead.
+ * A watch without events is ended after this time and replaced, as the watch's connection may
+ * be dead; a new watch is cheap.
  */
 #define WATCH_TIMEOUT_MS  1500
 #define STORE_RETRY_DELAY (200 * NSEC_PER_MSEC)
