--- a/packages/daemon/wl-coord-private.h
+++ b/packages/daemon/wl-coord-private.h
@@ -45,7 +45,10 @@
 	struct loop_timer *pass_timer;
 	int64_t pass_ended;
 	int64_t pass_pause;
-	/* Repeats the listing at load, or the watch, after a failed store call. */
+	/*
+	 * Repeats, after a failed store call, the load, the watch of the inbox, or a later
+	 * listing of the inbox that became necessary because the watched history was gone.
+	 */
 	struct loop_timer *inbox_timer;
 	unsigned int jobs_read;
 };
