--- a/packages/daemon/wl-coord.c
+++ b/packages/daemon/wl-coord.c
@@ -443,7 +443,10 @@
 	c->term = term;
 	c->term_revision = term_revision;
 	c->store_lease = store_lease;
-	/* The time of the reply to the write of the term, so later than that was sent. */
+	/*
+	 * The time of the reply to the write of the term. The write was sent earlier, so until
+	 * the first renewal the term's age comes out too low by up to the time of that call.
+	 */
 	c->term_confirmed_at = loop_now(p->loop);
 	c->agents = g_ptr_array_new();
 	c->stored_progress =
