--- a/packages/bench/bench-workload.c
+++ b/packages/bench/bench-workload.c
@@ -45,7 +45,7 @@
 };
 struct sim_node {
 	char name[16];
-	char life[16];
+	char worker_instance[16];
 	char rack[16];
 	int64_t next_report;
 	uint64_t ended;
@@ -144,7 +144,7 @@
 {
 	GArray *runs = g_array_new(FALSE, TRUE, sizeof(struct wl_run));
 	struct wl_report r = {.node = n->name,
-		.life = n->life,
+		.worker_instance = n->worker_instance,
 		.service = (char *)"s",
 		.rack = n->rack,
 		.cores_m = 128000,
@@ -302,7 +302,7 @@
 		struct sim_node *n = xcalloc(1, sizeof(*n));
 
 		g_snprintf(n->name, sizeof(n->name), "w%u", i);
-		g_snprintf(n->life, sizeof(n->life), "l%u", i);
+		g_snprintf(n->worker_instance, sizeof(n->worker_instance), "l%u", i);
 		g_snprintf(n->rack, sizeof(n->rack), "r%u", i / WORKERS_PER_RACK);
 		n->runs = g_ptr_array_new();
 		n->ends = g_array_new(FALSE, TRUE, sizeof(struct wl_ended));
--- a/packages/daemon/wl-coord.c
+++ b/packages/daemon/wl-coord.c
@@ -174,7 +174,7 @@
 		if (!wl_node_ends_stored(
 			    c->scheduler, agent->node, &instance, &msg.stored.number))
 			continue;
-		msg.stored.life = (char *)instance;
+		msg.stored.worker_instance = (char *)instance;
 		send_to_node(c, agent->node, &msg);
 	}
 }
--- a/packages/daemon/wl-worker-order.c
+++ b/packages/daemon/wl-worker-order.c
@@ -55,7 +55,7 @@
 static void resolve_start(struct wl_worker *w, struct pending_start *s, enum wl_answer answer)
 {
 	const struct wl_answer_note note = {.term = s->term,
-		.life = s->instance,
+		.worker_instance = s->instance,
 		.ordinal = s->ordinal,
 		.task = s->task,
 		.attempt = s->attempt,
@@ -259,7 +259,7 @@
 void wl_worker_start_tasks(struct wl_worker *w, const struct wl_start_order *o)
 {
 	int64_t deadline = worker_lease_deadline(w);
-	bool current = is_current(w, o->term, o->life);
+	bool current = is_current(w, o->term, o->worker_instance);
 
 	for (uint32_t i = 0; i < o->starts_len; i++) {
 		struct pending_start *s = xcalloc(1, sizeof(*s));
@@ -267,7 +267,7 @@
 		s->worker = w;
 		s->ordinal = o->starts[i].ordinal;
 		s->term = o->term;
-		s->instance = xstrdup(o->life);
+		s->instance = xstrdup(o->worker_instance);
 		s->task = xstrdup(o->starts[i].task);
 		s->attempt = o->starts[i].attempt;
 		s->payload = xstrdup(o->payload);
@@ -313,7 +313,7 @@
 	s->worker = w;
 	s->ordinal = o->ordinal;
 	s->term = o->term;
-	s->instance = xstrdup(o->life);
+	s->instance = xstrdup(o->worker_instance);
 	s->task = xstrdup(o->task);
 	s->attempt = o->attempt;
 	s->last_try_at = worker_now(w);
@@ -363,7 +363,7 @@
 {
 	struct pending_stop *s;
 
-	if (!is_current(w, o->term, o->life))
+	if (!is_current(w, o->term, o->worker_instance))
 		return;
 	/* With an ordinal it is not an order to stop a run, but to void that start. */
 	if (o->ordinal != 0) {
@@ -386,7 +386,7 @@
 /* Throttles a run to a percentage of its speed; 100 is full speed. */
 void wl_worker_pace_run(struct wl_worker *w, const struct wl_pace_order *o)
 {
-	if (!is_current(w, o->term, o->life))
+	if (!is_current(w, o->term, o->worker_instance))
 		return;
 	worker_send_call(w,
 		pf_worker_limit_speed(w->p->settings.worker_addr, w->heartbeat.id, w->term,
--- a/packages/daemon/wl-worker-private.h
+++ b/packages/daemon/wl-worker-private.h
@@ -55,7 +55,7 @@
 	bool heartbeat_posted;
 	int64_t heartbeat_at;
 	bool left;	/* its last heartbeat said that it is leaving */
-	char *instance; /* the worker's id and start time; called life in messages */
+	char *instance; /* the worker's id and start time; worker_instance in messages */
 	int64_t instance_started_at;
 	/* The worker's clock as of clock_at on the agent's; clock_at is 0 if unknown. */
 	int64_t clock_ms;
--- a/packages/daemon/wl-worker.c
+++ b/packages/daemon/wl-worker.c
@@ -99,7 +99,7 @@
 
 	out.term = w->term;
 	out.node = w->p->settings.node;
-	out.life = w->instance;
+	out.worker_instance = w->instance;
 	out.left = w->left;
 	out.covers = w->renewal_settled_ordinal;
 	out.sent_ns = (uint64_t)w->renewal_sent_at;
@@ -209,7 +209,8 @@
 
 void wl_worker_ack_ends(struct wl_worker *w, const struct wl_stored *s)
 {
-	if (s->term == w->term && w->instance != NULL && g_strcmp0(s->life, w->instance) == 0)
+	if (s->term == w->term && w->instance != NULL &&
+		g_strcmp0(s->worker_instance, w->instance) == 0)
 		w->ends_stored = MAX(w->ends_stored, s->number);
 	if (w->renewal_timer != NULL && w->ends_listed <= w->ends_stored) {
 		loop_timer_del(w->p->loop, w->renewal_timer);
--- a/packages/workload/wl-message.c
+++ b/packages/workload/wl-message.c
@@ -94,7 +94,7 @@
 static const struct field wl_report_list[] = {
 	U64(wl_report, term),
 	TEXT(wl_report, node),
-	TEXT(wl_report, life),
+	TEXT(wl_report, worker_instance),
 	TEXT(wl_report, service),
 	TEXT(wl_report, rack),
 	LIST(wl_report, labels, wl_text),
@@ -122,7 +122,7 @@
 
 static const struct field wl_start_order_list[] = {
 	U64(wl_start_order, term),
-	TEXT(wl_start_order, life),
+	TEXT(wl_start_order, worker_instance),
 	TEXT(wl_start_order, payload),
 	LIST(wl_start_order, starts, wl_start),
 };
@@ -130,7 +130,7 @@
 
 static const struct field wl_stop_order_list[] = {
 	U64(wl_stop_order, term),
-	TEXT(wl_stop_order, life),
+	TEXT(wl_stop_order, worker_instance),
 	TEXT(wl_stop_order, task),
 	U32(wl_stop_order, attempt),
 	U64(wl_stop_order, ordinal),
@@ -139,7 +139,7 @@
 
 static const struct field wl_pace_order_list[] = {
 	U64(wl_pace_order, term),
-	TEXT(wl_pace_order, life),
+	TEXT(wl_pace_order, worker_instance),
 	TEXT(wl_pace_order, task),
 	U32(wl_pace_order, attempt),
 	U32(wl_pace_order, percent),
@@ -148,7 +148,7 @@
 
 static const struct field wl_answer_note_list[] = {
 	U64(wl_answer_note, term),
-	TEXT(wl_answer_note, life),
+	TEXT(wl_answer_note, worker_instance),
 	U64(wl_answer_note, ordinal),
 	TEXT(wl_answer_note, task),
 	U32(wl_answer_note, attempt),
@@ -174,7 +174,7 @@
 
 static const struct field wl_stored_list[] = {
 	U64(wl_stored, term),
-	TEXT(wl_stored, life),
+	TEXT(wl_stored, worker_instance),
 	U64(wl_stored, number),
 };
 static const struct field_table wl_stored_fields = TABLE(wl_stored);
--- a/packages/workload/wl-node.c
+++ b/packages/workload/wl-node.c
@@ -157,11 +157,11 @@
 }
 
 /* Resets the state of a worker whose process has started again; its earlier runs are lost. */
-static void start_new_instance(struct wl_node *n, int64_t now, const char *life)
+static void start_new_instance(struct wl_node *n, int64_t now, const char *worker_instance)
 {
 	if (n->instance_id != NULL)
 		node_drop_runs(n, now, "the worker has restarted");
-	set_string(&n->instance_id, life);
+	set_string(&n->instance_id, worker_instance);
 	n->last_end_processed = 0;
 	n->last_end_stored = 0;
 	n->last_end_acked = 0;
@@ -183,8 +183,8 @@
 		.accelerators = r->accelerators};
 	n->has_left = r->left;
 	if (r->draining && !n->draining)
-		event_log(EV_WORKER_DRAIN, "node=%s life=%s remaining_ms=%u", n->name, r->life,
-			r->leaves_in_ms);
+		event_log(EV_WORKER_DRAIN, "node=%s life=%s remaining_ms=%u", n->name,
+			r->worker_instance, r->leaves_in_ms);
 	n->draining = r->draining;
 	n->drain_until = now + (int64_t)r->leaves_in_ms * NSEC_PER_MSEC;
 }
@@ -250,7 +250,7 @@
 		return;
 	orphan->stop_sent = now;
 	order = (struct wl_stop_order){.term = n->wl->term,
-		.life = n->instance_id,
+		.worker_instance = n->instance_id,
 		.task = orphan->task,
 		.attempt = orphan->attempt};
 	event_log(EV_TASK_STOP, "task=%s attempt=%u node=%s why=\"not the current run\" for=-",
@@ -348,14 +348,14 @@
 	bool was_usable;
 	bool was_connected;
 
-	if (r->node == NULL || r->life == NULL)
+	if (r->node == NULL || r->worker_instance == NULL)
 		return;
 	n = node_get_or_create(w, r->node);
 	was_connected = n->linked && n->instance_id != NULL;
 	was_usable = node_usable(n, now);
 	capacity = n->capacity;
-	if (n->instance_id == NULL || strcmp(n->instance_id, r->life) != 0)
-		start_new_instance(n, now, r->life);
+	if (n->instance_id == NULL || strcmp(n->instance_id, r->worker_instance) != 0)
+		start_new_instance(n, now, r->worker_instance);
 	update_node_state(n, now, r);
 	n->linked = true;
 	n->last_contact_at = now;
@@ -430,8 +430,9 @@
 	struct wl_node *n;
 
 	if (t == NULL || t->node == NULL || t->attempt != a->attempt ||
-		t->ordinal != a->ordinal || a->life == NULL || t->node->instance_id == NULL ||
-		strcmp(t->node->instance_id, a->life) != 0)
+		t->ordinal != a->ordinal || a->worker_instance == NULL ||
+		t->node->instance_id == NULL ||
+		strcmp(t->node->instance_id, a->worker_instance) != 0)
 		return;
 	n = t->node;
 	event_log(EV_TASK_RUN, "task=%s attempt=%u node=%s answer=%s", a->task, a->attempt,
@@ -473,7 +474,8 @@
  * Sets number to the highest finished run of a node up to which all are stored, and records it
  * as acknowledged. Returns false, without setting it, if it was returned before.
  */
-bool wl_node_ends_stored(struct wl *w, const char *name, const char **life, uint64_t *number)
+bool wl_node_ends_stored(
+	struct wl *w, const char *name, const char **worker_instance, uint64_t *number)
 {
 	struct wl_node *n = node_find(w, name);
 	guint stored_count = 0;
@@ -494,7 +496,7 @@
 	if (n->last_end_stored <= n->last_end_acked)
 		return false;
 	n->last_end_acked = n->last_end_stored;
-	*life = n->instance_id;
+	*worker_instance = n->instance_id;
 	*number = n->last_end_stored;
 	return true;
 }
--- a/packages/workload/wl-private.h
+++ b/packages/workload/wl-private.h
@@ -179,7 +179,7 @@
 struct wl_node {
 	struct wl *wl;
 	char *name;
-	/* wl_report.life; NULL if no worker is known or the last one is gone. */
+	/* wl_report.worker_instance; NULL if no worker is known or the last one is gone. */
 	char *instance_id;
 	char *service;
 	char *rack;
--- a/packages/workload/wl-run.c
+++ b/packages/workload/wl-run.c
@@ -120,7 +120,7 @@
 	t->stop_sent = now;
 	name = task_name(t);
 	o = (struct wl_stop_order){.term = t->unit->job->wl->term,
-		.life = t->node->instance_id,
+		.worker_instance = t->node->instance_id,
 		.task = name,
 		.attempt = t->attempt};
 	event_log(EV_TASK_STOP, "task=%s attempt=%u node=%s why=\"%s\" for=%s", name,
@@ -143,7 +143,7 @@
 	t->stop_sent = now;
 	name = task_name(t);
 	o = (struct wl_stop_order){.term = t->unit->job->wl->term,
-		.life = t->node->instance_id,
+		.worker_instance = t->node->instance_id,
 		.task = name,
 		.attempt = t->attempt,
 		.ordinal = t->ordinal};
@@ -303,7 +303,7 @@
 		}
 		if (starts->len == 0)
 			continue;
-		o.life = n->instance_id;
+		o.worker_instance = n->instance_id;
 		o.starts = (struct wl_start *)starts->data;
 		o.starts_len = starts->len;
 		w->callbacks.start(w->callbacks.arg, n->name, &o);
--- a/packages/workload/workload.h
+++ b/packages/workload/workload.h
@@ -211,7 +211,7 @@
 	uint64_t term;
 	char *node;
 	/* Instance id of the worker process; changes each time it starts. */
-	char *life;
+	char *worker_instance;
 	char *service;
 	char *rack;
 	struct wl_text *labels;
@@ -247,7 +247,7 @@
 /* Coordinator to agent: start tasks of one job. */
 struct wl_start_order {
 	uint64_t term;
-	char *life;
+	char *worker_instance;
 	char *payload;
 	struct wl_start *starts;
 	uint32_t starts_len;
@@ -255,7 +255,7 @@
 /* Coordinator to agent: stop a run. */
 struct wl_stop_order {
 	uint64_t term;
-	char *life;
+	char *worker_instance;
 	char *task;
 	uint32_t attempt;
 	/*
@@ -268,7 +268,7 @@
 /* Coordinator to agent: limit the speed of a run to percent. */
 struct wl_pace_order {
 	uint64_t term;
-	char *life;
+	char *worker_instance;
 	char *task;
 	uint32_t attempt;
 	uint32_t percent;
@@ -276,7 +276,7 @@
 /* Agent to coordinator: the worker's answer to a start. */
 struct wl_answer_note {
 	uint64_t term;
-	char *life;
+	char *worker_instance;
 	uint64_t ordinal;
 	char *task;
 	uint32_t attempt;
@@ -301,7 +301,7 @@
 /* Coordinator to agent: finished runs of this worker instance up to number are stored. */
 struct wl_stored {
 	uint64_t term;
-	char *life;
+	char *worker_instance;
 	uint64_t number;
 };
 
@@ -421,9 +421,10 @@
 /*
  * Takes the number up to which the finished runs of the node's current instance are stored, so
  * that the caller acknowledges them to the worker. Returns true only once for each number: it
- * counts as acknowledged from then on. The caller doesn't own life.
+ * counts as acknowledged from then on. The caller doesn't own worker_instance.
  */
-bool wl_node_ends_stored(struct wl *w, const char *node, const char **life, uint64_t *number);
+bool wl_node_ends_stored(
+	struct wl *w, const char *node, const char **worker_instance, uint64_t *number);
 /* Ordinal of the last start, wl_start.ordinal. */
 uint64_t wl_last_ordinal(const struct wl *w);
 size_t wl_node_count(const struct wl *w);
--- a/tests/property/prop-workload.cc
+++ b/tests/property/prop-workload.cc
@@ -16,7 +16,7 @@
 /*
  * Model test of the workload core: it runs unmodified against simulated workers, connections
  * and a simulated store under random faults. Connections break and lose the messages in
- * transit, workers restart under a new life, starts are refused or their answers lost, the
+ * transit, workers restart as a new instance, starts are refused or their answers lost, the
  * store is unavailable, and coordinators crash or keep running after they were replaced.
  *
  * The workers check that no task runs twice at once, exceeds the capacity of a worker, starts
@@ -66,7 +66,7 @@
 /* A worker and its agent. The agent keeps no task state of its own. */
 struct worker {
 	std::string name;
-	int life = 1;
+	int instance_number = 1;
 	bool up = true;
 	uint64_t fencing_term = 0;
 	std::map<std::string, task_run> runs;
@@ -86,9 +86,9 @@
 	int64_t next_report_at = 0;
 	std::deque<bytes> inbox;
 
-	std::string life_name() const
+	std::string instance_name() const
 	{
-		return name + "@" + std::to_string(life);
+		return name + "@" + std::to_string(instance_number);
 	}
 };
 
@@ -406,7 +406,7 @@
 	std::vector<wl_run> runs;
 	std::vector<wl_ended> ends;
 	wl_report r{};
-	std::string life = k.life_name();
+	std::string worker_instance = k.instance_name();
 	std::string rack = "r" + std::to_string(k.name.back() % 2);
 
 	if (c == nullptr || c->dead || !k.up || sim->now < k.disconnected_until ||
@@ -435,7 +435,7 @@
 	}
 	r.term = k.term;
 	r.node = (char *)k.name.c_str();
-	r.life = (char *)life.c_str();
+	r.worker_instance = (char *)worker_instance.c_str();
 	r.service = (char *)"s";
 	r.rack = (char *)rack.c_str();
 	r.cores_m = 32000;
@@ -453,10 +453,10 @@
 		wl_node_report(c->core, sim->now, sim->now, &r);
 	else
 		c->roster_pending.insert(k.name);
-	const char *stored_life;
+	const char *stored_instance;
 	uint64_t number;
-	if (wl_node_ends_stored(c->core, k.name.c_str(), &stored_life, &number) &&
-		life == stored_life)
+	if (wl_node_ends_stored(c->core, k.name.c_str(), &stored_instance, &number) &&
+		worker_instance == stored_instance)
 		k.stored_end_number = std::max(k.stored_end_number, number);
 }
 
@@ -483,10 +483,11 @@
 
 				k.last_ordinal = std::max(k.last_ordinal, s.ordinal);
 				if (term_matches && sim->now < k.authority_until &&
-					k.life_name() == m.start.life && !sim->fault_chance(12))
+					k.instance_name() == m.start.worker_instance &&
+					!sim->fault_chance(12))
 					answer = start_task(sim, k, s.task, s.attempt, k.term);
 				note.term = m.start.term;
-				note.life = m.start.life;
+				note.worker_instance = m.start.worker_instance;
 				note.ordinal = s.ordinal;
 				note.task = s.task;
 				note.attempt = s.attempt;
@@ -496,7 +497,8 @@
 					wl_node_answer(c->core, sim->now, &note);
 			}
 		} else if (m.kind == WL_MSG_STOP && term_matches &&
-			   k.life_name() == m.stop.life && k.term >= k.fencing_term) {
+			   k.instance_name() == m.stop.worker_instance &&
+			   k.term >= k.fencing_term) {
 			auto it = k.runs.find(m.stop.task);
 
 			if (it != k.runs.end() && it->second.attempt <= m.stop.attempt &&
@@ -512,7 +514,7 @@
 				wl_answer_note note{};
 
 				note.term = m.stop.term;
-				note.life = m.stop.life;
+				note.worker_instance = m.stop.worker_instance;
 				note.ordinal = m.stop.ordinal;
 				note.task = m.stop.task;
 				note.attempt = m.stop.attempt;
@@ -594,7 +596,7 @@
 	k.next_end_number = 1;
 	k.stored_end_number = 0;
 	k.fencing_term = 0;
-	k.life++;
+	k.instance_number++;
 	k.disconnected_until = sim->now + downtime;
 	k.coordinator_index = -1;
 	for (auto &b : k.inbox)
--- a/tests/unit/test-workload.c
+++ b/tests/unit/test-workload.c
@@ -132,9 +132,9 @@
 static void report_worker(struct fixture *f, const char *node, struct wl_run *runs,
 	uint32_t runs_len, struct wl_ended *ends, uint32_t ends_len)
 {
-	char life[32];
+	char worker_instance[32];
 	const struct wl_report r = {.node = (char *)node,
-		.life = life,
+		.worker_instance = worker_instance,
 		.service = (char *)"s",
 		.rack = (char *)"r1",
 		.cores_m = 32000,
@@ -146,7 +146,7 @@
 		.ends = ends,
 		.ends_len = ends_len};
 
-	snprintf(life, sizeof(life), "%s@1", node);
+	snprintf(worker_instance, sizeof(worker_instance), "%s@1", node);
 	wl_node_report(f->wl, f->now, f->now, &r);
 }
 
@@ -320,7 +320,7 @@
 		.steps = &step,
 		.steps_len = 1};
 	struct wl_report remote = {.node = (char *)"w2",
-		.life = (char *)"w2@1",
+		.worker_instance = (char *)"w2@1",
 		.service = (char *)"s",
 		.rack = (char *)"r2",
 		.cores_m = 32000,
@@ -399,7 +399,7 @@
 	struct fixture f;
 	struct wl_ended end = {
 		.number = 1, .task = (char *)"0000000000000001.0.0.0", .attempt = 1};
-	const char *life;
+	const char *worker_instance;
 	uint64_t number;
 
 	fixture_init(&f);
@@ -408,10 +408,10 @@
 	run_pass(&f);
 	f.store_down = true;
 	report_worker(&f, "w1", NULL, 0, &end, 1);
-	CU_ASSERT_FALSE(wl_node_ends_stored(f.wl, "w1", &life, &number));
+	CU_ASSERT_FALSE(wl_node_ends_stored(f.wl, "w1", &worker_instance, &number));
 	f.store_down = false;
 	store_dirty_jobs(&f);
-	CU_ASSERT_TRUE_FATAL(wl_node_ends_stored(f.wl, "w1", &life, &number));
+	CU_ASSERT_TRUE_FATAL(wl_node_ends_stored(f.wl, "w1", &worker_instance, &number));
 	CU_ASSERT_EQUAL(number, 1);
 	fixture_clear(&f);
 }
@@ -425,7 +425,7 @@
 static void test_unanswered_start(void)
 {
 	struct fixture f;
-	struct wl_answer_note answer = {.life = (char *)"w1@1",
+	struct wl_answer_note answer = {.worker_instance = (char *)"w1@1",
 		.task = (char *)"0000000000000001.0.0.0",
 		.attempt = 1,
 		/* Also the agent's answer once the stop ensures that the start can't run. */
@@ -532,7 +532,7 @@
 	struct wl_run run = {
 		.task = (char *)"0000000000000001.0.0.0", .attempt = 1, .percent = percent};
 	const struct wl_report r = {.node = (char *)"w1",
-		.life = (char *)"w1@1",
+		.worker_instance = (char *)"w1@1",
 		.service = (char *)"s",
 		.accelerators = 8,
 		.cores_m = 32000,
