--- a/packages/coordination/coord-job.c
+++ b/packages/coordination/coord-job.c
@@ -173,7 +173,10 @@
 	size_t sent = 0;
 
 	c->handing_over = true;
-	/* Stops placement as the settling phase does, which queued jobs show as the reason. */
+	/*
+	 * No job is placed from now on, as while the coordinator waits for inventories after
+	 * its start. Queued jobs are shown with the same reason, "settling".
+	 */
 	sched_set_settling(c->sched, true);
 	g_hash_table_iter_init(&it, c->jobs);
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
--- a/packages/coordination/coord-run.c
+++ b/packages/coordination/coord-run.c
@@ -332,7 +332,11 @@
 	acknowledge_end(c, a, j, m);
 }
 
-/* Handle the report that a member has ended; for a listed one, settling the job handles it. */
+/*
+ * Handle the report that a member has ended. If the member is known only from an agent's
+ * inventory, because its job has not been settled yet, the end is only noted here; it is
+ * handled and acknowledged when the job is settled.
+ */
 void run_handle_ended(
 	struct coord *c, int64_t now, struct coord_agent *a, const struct msg_ended *m)
 {
--- a/packages/coordination/coord.c
+++ b/packages/coordination/coord.c
@@ -169,8 +169,9 @@
 }
 
 /*
- * Return a number that is higher than any attempt number of an earlier term. The attempts of a
- * job that an earlier term may have tried are numbered above it.
+ * Return a number that is higher than any attempt number of an earlier term. If a job may have
+ * had attempts in an earlier term, its attempts in this term get numbers above the one
+ * returned.
  */
 uint32_t coord_attempt_floor(const struct coord *c)
 {
--- a/packages/coordination/sched-check.c
+++ b/packages/coordination/sched-check.c
@@ -10,8 +10,8 @@
 	uint32_t jobs;
 };
 
-/* Returns the totals for each worker. */
-static struct job_totals *total_jobs(const struct sched *s)
+/* Returns an array with the totals of each worker, to be freed by the caller. */
+static struct job_totals *sum_jobs_by_worker(const struct sched *s)
 {
 	struct job_totals *totals = xcalloc(s->workers->len, sizeof(*totals));
 
@@ -136,7 +136,7 @@
 /* Checks the invariants of the whole state. */
 char *sched_check(const struct sched *s)
 {
-	struct job_totals *totals = total_jobs(s);
+	struct job_totals *totals = sum_jobs_by_worker(s);
 	char *out = NULL;
 
 	for (uint32_t i = 0; out == NULL && i < s->workers->len; i++)
--- a/packages/daemon/agent-upstream.c
+++ b/packages/daemon/agent-upstream.c
@@ -12,7 +12,7 @@
  */
 
 #define ANNOUNCE_TTL_MAX_NS (3 * NSEC_PER_SEC)
-/* Texts of an announcement, with the terminating NUL. */
+/* Size limit of each string in an announcement, including the terminating NUL. */
 #define ANNOUNCE_TEXT_MAX_BYTES (JOB_NAME_MAX * 4)
 #define COMMAND_TIMEOUT_NS	(10 * NSEC_PER_SEC)
 #define HTTP_STATUS_STOPPED	409
@@ -203,8 +203,8 @@
 }
 
 /*
- * Reads a string from a JSON object; the fallback if it is absent or too long. So an address or
- * a worker that is too long becomes empty.
+ * Returns a copy of a string in a JSON object, or of the fallback if the string is absent or
+ * too long. The fallback for the address and the worker's name is the empty string.
  */
 static char *json_text(const json_t *o, const char *name, const char *fallback)
 {
--- a/packages/daemon/entry-submit.c
+++ b/packages/daemon/entry-submit.c
@@ -248,7 +248,7 @@
  * Sets the job's cell and its id, "CELL~HEX". With a key both are derived from the organisation
  * and the key, so a repeated request gets the same id at any entry.
  */
-static bool set_id(
+static bool assign_cell_and_id(
 	struct open_job *j, const struct entry_view *v, const char *key, GError **err)
 {
 	const char *cell = key != NULL ? cell_for_key(v, j->spec.org, key) : cell_for_job(v);
@@ -348,7 +348,7 @@
 		ok = false;
 	}
 	ok = ok && check_body(root, err) && parse_spec(root, &j->spec, err) &&
-	     check_admission(e, r, v, &j->spec, err) && set_id(j, v, key, err);
+	     check_admission(e, r, v, &j->spec, err) && assign_cell_and_id(j, v, key, err);
 	json_decref(root);
 	if (!ok) {
 		open_job_free(j);
--- a/packages/daemon/wl-worker.c
+++ b/packages/daemon/wl-worker.c
@@ -12,7 +12,7 @@
  * coordinator.
  */
 
-/* Long poll: how long the worker may hold back its lists while no run ends. */
+/* Long poll: how long the worker may hold back its lists of runs while no run ends. */
 #define RENEWAL_WAIT_MS 1000
 /* Pause before the next renewal, after a failed one or while heartbeats are missing. */
 #define RENEWAL_RETRY_DELAY (250 * NSEC_PER_MSEC)
@@ -141,9 +141,10 @@
 			w->events.fenced(w->events.arg);
 		if (r.kind == PF_REPLY_OK && wc->term == w->term && w->instance != NULL) {
 			/*
-			 * The report with the ended runs goes first: a void start whose run
-			 * has ended isn't listed as running and is answered as refused below.
-			 * The coordinator has to know of its end by then.
+			 * The report with the ended runs is sent first. If a start without an
+			 * answer has been voided by a stop, and its run has ended, the run is
+			 * not listed as running and the start is reported as refused below.
+			 * The coordinator must know by then that the run has ended.
 			 */
 			report_runs(w, &r);
 			worker_resolve_unknown_starts(w, &r, w->renewal_sent_at);
