--- a/packages/daemon/wl-coord.c
+++ b/packages/daemon/wl-coord.c
@@ -171,7 +171,7 @@
 		struct wl_msg msg = {.kind = WL_MSG_STORED, .stored.term = c->term};
 		const char *instance; /* the worker's id and start time */
 
-		if (!wl_node_ends_stored(
+		if (!wl_node_take_ends_to_ack(
 			    c->scheduler, agent->node, &instance, &msg.stored.number))
 			continue;
 		msg.stored.worker_instance = (char *)instance;
--- a/packages/workload/wl-node.c
+++ b/packages/workload/wl-node.c
@@ -474,7 +474,7 @@
  * Sets number to the highest finished run of a node up to which all are stored, and records it
  * as acknowledged. Returns false, without setting it, if it was returned before.
  */
-bool wl_node_ends_stored(
+bool wl_node_take_ends_to_ack(
 	struct wl *w, const char *name, const char **worker_instance, uint64_t *number)
 {
 	struct wl_node *n = node_find(w, name);
--- a/packages/workload/wl-private.h
+++ b/packages/workload/wl-private.h
@@ -203,7 +203,7 @@
 	uint64_t last_end_processed;
 	/* Highest wl_ended.number up to which the results of all finished runs are stored. */
 	uint64_t last_end_stored;
-	/* Highest number that wl_node_ends_stored has returned, to be acknowledged. */
+	/* Highest number that wl_node_take_ends_to_ack has returned, to be acknowledged. */
 	uint64_t last_end_acked;
 	GArray *pending_ends;
 	GPtrArray *orphans;
--- a/packages/workload/workload.h
+++ b/packages/workload/workload.h
@@ -423,7 +423,7 @@
  * that the caller acknowledges them to the worker. Returns true only once for each number: it
  * counts as acknowledged from then on. The caller doesn't own worker_instance.
  */
-bool wl_node_ends_stored(
+bool wl_node_take_ends_to_ack(
 	struct wl *w, const char *node, const char **worker_instance, uint64_t *number);
 /* Ordinal of the last start, wl_start.ordinal. */
 uint64_t wl_last_ordinal(const struct wl *w);
--- a/tests/property/prop-workload.cc
+++ b/tests/property/prop-workload.cc
@@ -455,7 +455,7 @@
 		c->roster_pending.insert(k.name);
 	const char *stored_instance;
 	uint64_t number;
-	if (wl_node_ends_stored(c->core, k.name.c_str(), &stored_instance, &number) &&
+	if (wl_node_take_ends_to_ack(c->core, k.name.c_str(), &stored_instance, &number) &&
 		worker_instance == stored_instance)
 		k.stored_end_number = std::max(k.stored_end_number, number);
 }
--- a/tests/unit/test-workload.c
+++ b/tests/unit/test-workload.c
@@ -408,10 +408,10 @@
 	run_pass(&f);
 	f.store_down = true;
 	report_worker(&f, "w1", NULL, 0, &end, 1);
-	CU_ASSERT_FALSE(wl_node_ends_stored(f.wl, "w1", &worker_instance, &number));
+	CU_ASSERT_FALSE(wl_node_take_ends_to_ack(f.wl, "w1", &worker_instance, &number));
 	f.store_down = false;
 	store_dirty_jobs(&f);
-	CU_ASSERT_TRUE_FATAL(wl_node_ends_stored(f.wl, "w1", &worker_instance, &number));
+	CU_ASSERT_TRUE_FATAL(wl_node_take_ends_to_ack(f.wl, "w1", &worker_instance, &number));
 	CU_ASSERT_EQUAL(number, 1);
 	fixture_clear(&f);
 }
